--- a/core/src/main/java/org/verbenatally/policy/AdmissionDecision.java
+++ b/core/src/main/java/org/verbenatally/policy/AdmissionDecision.java
@@ -2,20 +2,20 @@
 
 import java.time.Duration;
 
-/** What an entry does with a request that has just arrived. */
+/** The decision on a request that has just arrived. */
 public sealed interface AdmissionDecision {
 
     /** The request runs now. */
     record Admit() implements AdmissionDecision {}
 
-    /** The request waits for room in the entry's queue. */
+    /** The request waits in the entry's queue until a target has capacity. */
     record Queue() implements AdmissionDecision {}
 
     /**
      * The request is refused and has not run.
      *
      * @param reason one short sentence
-     * @param retryAfter when a new try makes sense
+     * @param retryAfter time after which the caller should retry
      */
     record Refuse(String reason, Duration retryAfter) implements AdmissionDecision {}
 }
--- a/core/src/main/java/org/verbenatally/policy/AdmissionPolicy.java
+++ b/core/src/main/java/org/verbenatally/policy/AdmissionPolicy.java
@@ -1,6 +1,6 @@
 package org.verbenatally.policy;
 
-/** Decides what to do with a request that has just arrived. */
+/** Decides whether a request that has just arrived runs, waits or is refused. */
 @FunctionalInterface
 public interface AdmissionPolicy {
 
--- a/core/src/main/java/org/verbenatally/policy/BaselineRouting.java
+++ b/core/src/main/java/org/verbenatally/policy/BaselineRouting.java
@@ -13,80 +13,83 @@
 import org.verbenatally.policy.TargetSnapshot.Estimate;
 
 /**
- * The usual ways to choose a target, for comparison. They obey only the configured concurrency and know nothing of
- * memory that will be needed.
+ * Common routing policies, used as baselines for comparison. They respect only the configured concurrency and do not
+ * forecast memory use.
  */
 final class BaselineRouting {
     private BaselineRouting() {}
 
-    /** Takes the targets in turn. */
+    /** Returns a policy that takes the targets in turn. */
     static RoutingPolicy roundRobin() {
         AtomicInteger next = new AtomicInteger();
         return input -> {
-            List<TargetSnapshot> open = open(input);
-            if (open.isEmpty()) {
+            List<TargetSnapshot> available = belowLimit(input);
+            if (available.isEmpty()) {
                 return Optional.empty();
             }
-            int turn = Math.floorMod(next.getAndIncrement(), open.size());
-            return Optional.of(open.get(turn).target());
+            int turn = Math.floorMod(next.getAndIncrement(), available.size());
+            return Optional.of(available.get(turn).target());
         };
     }
 
-    /** Takes the target with the fewest requests in flight from this entry. */
+    /** Returns a policy that takes the target with the fewest requests in flight from this entry. */
     static RoutingPolicy fewestInFlight() {
-        return input -> lowest(open(input), TargetSnapshot::ownRequests);
+        return input -> leastLoaded(belowLimit(input), TargetSnapshot::ownRequests);
     }
 
-    /** Takes the target whose last report shows the fewest requests, as it was published. */
+    /** Returns a policy that takes the target with the fewest requests in its latest report, uncorrected. */
     static RoutingPolicy lowestReported() {
-        return input -> lowest(
-                open(input),
+        return input -> leastLoaded(
+                belowLimit(input),
                 t -> t.report().map(r -> (double) r.running() + r.waiting()).orElse((double) t.ownRequests()));
     }
 
-    /** Draws two targets at random and takes the one with fewer known requests in flight. */
+    /** Returns a policy that samples two targets at random and takes the one with fewer known requests in flight. */
     static RoutingPolicy twoChoices() {
         return input -> {
-            List<TargetSnapshot> open = open(input);
-            if (open.size() < 2) {
-                return open.stream().map(TargetSnapshot::target).findFirst();
+            List<TargetSnapshot> available = belowLimit(input);
+            if (available.size() < 2) {
+                return available.stream().map(TargetSnapshot::target).findFirst();
             }
             UniformRandomProvider random = ThreadLocalRandomSource.current(RandomSource.XO_RO_SHI_RO_128_PP);
-            int one = random.nextInt(open.size());
-            int other = (one + 1 + random.nextInt(open.size() - 1)) % open.size();
-            return lowest(List.of(open.get(one), open.get(other)), t -> t.ownRequests() + t.peerRequests());
+            int first = random.nextInt(available.size());
+            int second = (first + 1 + random.nextInt(available.size() - 1)) % available.size();
+            return leastLoaded(
+                    List.of(available.get(first), available.get(second)), t -> t.ownRequests() + t.peerRequests());
         };
     }
 
     /**
-     * Takes the target with the lowest key-value pressure ratio: token rate over remaining memory. All requests decode
-     * at the same rate in one batch, so the rate is proportional to the requests.
+     * Returns a policy that takes the target with the lowest key-value pressure ratio: token rate divided by remaining
+     * memory. All requests of a batch decode at the same rate, so the token rate is proportional to the number of
+     * requests.
      *
-     * @param corrected whether the load estimated here is used instead of the published one
+     * @param corrected whether to use the load estimated by this entry instead of the reported one
      */
     static RoutingPolicy keyValuePressure(boolean corrected) {
-        return input -> lowest(open(input), t -> {
-            Estimate now = t.estimate();
+        return input -> leastLoaded(belowLimit(input), t -> {
+            Estimate estimate = t.estimate();
             double requests = t.report()
                     .filter(r -> !corrected)
                     .map(r -> (double) r.running() + r.waiting())
-                    .orElse(now.requests());
-            double used = t.report()
+                    .orElse(estimate.requests());
+            double usedTokens = t.report()
                     .filter(r -> !corrected)
                     .map(r -> (double) r.kvUsedTokens())
-                    .orElse(now.kvTokens());
-            double left = now.kvCapacityTokens() - used - input.promptTokens();
-            return (requests + 1) / Math.max(1, left);
+                    .orElse(estimate.kvTokens());
+            double remainingTokens = estimate.kvCapacityTokens() - usedTokens - input.promptTokens();
+            return (requests + 1) / Math.max(1, remainingTokens);
         });
     }
 
-    private static List<TargetSnapshot> open(RoutingInput input) {
+    private static List<TargetSnapshot> belowLimit(RoutingInput input) {
         return input.candidates().stream()
                 .filter(t -> t.ownRequests() + t.peerRequests() < t.maxConcurrent())
                 .toList();
     }
 
-    private static Optional<TargetId> lowest(List<TargetSnapshot> open, ToDoubleFunction<TargetSnapshot> load) {
-        return open.stream().min(Comparator.comparingDouble(load)).map(TargetSnapshot::target);
+    private static Optional<TargetId> leastLoaded(
+            List<TargetSnapshot> available, ToDoubleFunction<TargetSnapshot> load) {
+        return available.stream().min(Comparator.comparingDouble(load)).map(TargetSnapshot::target);
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/CandidateSampler.java
+++ b/core/src/main/java/org/verbenatally/policy/CandidateSampler.java
@@ -8,26 +8,26 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Picks the targets that a routing decision looks at. Up to {@link #ALL} targets are all looked at. Out of more, a
- * random sample is drawn, and the targets with the fewest known requests in it are looked at in detail.
+ * Selects the targets that a routing decision evaluates. Up to {@link #SAMPLING_THRESHOLD} targets are all evaluated.
+ * From a larger number, a random sample is taken, and only its targets with the fewest known requests are evaluated.
  */
 final class CandidateSampler {
-    /** Number of targets up to which a decision looks at all of them. */
-    static final int ALL = 16;
-    /** Targets drawn at random in the first stage. */
-    private static final int DRAWN = 32;
-    /** Targets kept for the second stage. */
-    private static final int KEPT = 8;
+    /** Largest number of targets that are all evaluated. */
+    static final int SAMPLING_THRESHOLD = 16;
+    /** Number of targets in the random sample. */
+    private static final int SAMPLE_SIZE = 32;
+    /** Number of targets of the sample that are evaluated. */
+    private static final int SHORTLIST_SIZE = 8;
 
-    private record Counted(TargetState state, int requests) {}
+    private record Sampled(TargetState state, int requests) {}
 
     private CandidateSampler() {}
 
-    /** Returns the candidates; {@code preferred} is one of them if it passes the filter and is not {@code null}. */
+    /** Returns the candidates. They include {@code preferred} if it is not {@code null} and passes the filter. */
     static List<TargetState> sample(
             TargetState[] all, Predicate<TargetState> filter, TargetState preferred, UniformRandomProvider random) {
-        List<TargetState> result = new ArrayList<>(ALL);
-        if (all.length <= ALL) {
+        List<TargetState> result = new ArrayList<>(SAMPLING_THRESHOLD);
+        if (all.length <= SAMPLING_THRESHOLD) {
             for (TargetState state : all) {
                 if (filter.test(state)) {
                     result.add(state);
@@ -35,23 +35,24 @@
             }
             return result;
         }
-        // A random start and an odd step visit distinct targets without a set of those seen.
+        // Equal steps from a random start visit distinct targets until they return to it, so no set of visited ones is
+        // needed.
         int start = random.nextInt(all.length);
         int step = 1 + random.nextInt(all.length - 1);
-        List<Counted> drawn = new ArrayList<>(DRAWN);
+        List<Sampled> sampled = new ArrayList<>(SAMPLE_SIZE);
         int index = start;
-        for (int i = 0; i < 4 * DRAWN && drawn.size() < DRAWN; i++) {
+        for (int i = 0; i < 4 * SAMPLE_SIZE && sampled.size() < SAMPLE_SIZE; i++) {
             TargetState state = all[index];
             if (state != preferred && filter.test(state)) {
-                drawn.add(new Counted(state, state.knownRequests()));
+                sampled.add(new Sampled(state, state.knownRequests()));
             }
             index = (index + step) % all.length;
             if (index == start) {
                 break;
             }
         }
-        drawn.sort(Comparator.comparingInt(Counted::requests));
-        drawn.stream().limit(KEPT).forEach(c -> result.add(c.state()));
+        sampled.sort(Comparator.comparingInt(Sampled::requests));
+        sampled.stream().limit(SHORTLIST_SIZE).forEach(c -> result.add(c.state()));
         if (preferred != null && filter.test(preferred)) {
             result.add(preferred);
         }
--- a/core/src/main/java/org/verbenatally/policy/RunningFlight.java
+++ b/core/src/main/java/org/verbenatally/policy/DispatchedRequest.java
@@ -6,34 +6,34 @@
 
 import org.verbenatally.core.TargetId;
 
-/** The flight that the dispatcher hands out. */
-final class RunningFlight implements Flight {
+/** A request in flight, as returned by the dispatcher. */
+final class DispatchedRequest implements Flight {
     private final WorkRequest request;
     private final TargetState state;
-    private final LengthModel lengths;
+    private final LengthModel lengthModel;
     private final LongSupplier clock;
-    private final BiConsumer<RunningFlight, FlightEnd> onEnd;
+    private final BiConsumer<DispatchedRequest, FlightEnd> onEnd;
     private final long startNanos;
 
     private boolean ended;
-    private volatile int tokens;
+    private volatile int outputTokens;
     private long lastTokenNanos;
 
     /**
-     * Creates a flight that starts now.
+     * Creates a request whose attempt starts now.
      *
      * @param clock the monotonic clock, in nanoseconds
-     * @param onEnd called once, when the flight ends
+     * @param onEnd called once, when the attempt ends
      */
-    RunningFlight(
+    DispatchedRequest(
             WorkRequest request,
             TargetState state,
-            LengthModel lengths,
+            LengthModel lengthModel,
             LongSupplier clock,
-            BiConsumer<RunningFlight, FlightEnd> onEnd) {
+            BiConsumer<DispatchedRequest, FlightEnd> onEnd) {
         this.request = request;
         this.state = state;
-        this.lengths = lengths;
+        this.lengthModel = lengthModel;
         this.clock = clock;
         this.onEnd = onEnd;
         this.startNanos = clock.getAsLong();
@@ -51,9 +51,9 @@
             if (ended) {
                 return;
             }
-            int count = tokens + 1;
-            tokens = count;
-            state.token(now, count == 1 ? 0 : now - lastTokenNanos);
+            int count = outputTokens + 1;
+            outputTokens = count;
+            state.recordToken(now, count == 1 ? 0 : now - lastTokenNanos);
             lastTokenNanos = now;
         }
     }
@@ -82,18 +82,19 @@
         return startNanos;
     }
 
-    /** Returns the output tokens so far. */
-    int tokens() {
-        return tokens;
+    /** Returns the number of output tokens so far. */
+    int outputTokens() {
+        return outputTokens;
     }
 
-    /** Returns the tokens that the flight holds at its target: the prompt and the output so far. */
+    /** Returns the tokens that the request holds at its target: the prompt and the output so far. */
     long heldTokens() {
-        return (long) request.promptTokens() + tokens();
+        return (long) request.promptTokens() + outputTokens();
     }
 
-    /** Returns the tokens that the flight is expected to add. */
+    /** Returns the tokens that the request is expected to add. */
     double expectedRemaining() {
-        return lengths.expectedRemaining(request.kind(), request.organisation().id(), tokens());
+        return lengthModel.expectedRemaining(
+                request.kind(), request.organisation().id(), outputTokens());
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -21,13 +21,13 @@
 import org.verbenatally.time.TimerService;
 
 /**
- * Admits, queues and routes requests. The facade of this package: the entry process owns one and asks it for a flight
- * before each attempt. Safe for use by several threads.
+ * Admits, queues and routes requests. This is the facade of the package: the entry process owns one dispatcher and
+ * acquires a target from it before each attempt. Safe for use by several threads.
  */
 public final class Dispatcher implements AutoCloseable {
-    private static final Duration SWEEP = Duration.ofMillis(20);
-    /** Flights are summarised this often; their remaining lengths change slowly. */
-    private static final int SWEEPS_PER_VIEW = 10;
+    private static final Duration SWEEP_INTERVAL = Duration.ofMillis(20);
+    /** The requests in flight are summarised once in this many sweeps; their remaining lengths change slowly. */
+    private static final int SWEEPS_PER_SUMMARY = 10;
 
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
@@ -35,30 +35,30 @@
     private final TargetTable targets;
     private final SuspectTable suspects;
     private final PolicySuite policies;
-    private final HistogramLengthModel lengths = new HistogramLengthModel();
-    private final BudgetedRetryPolicy retries = new BudgetedRetryPolicy(this::overloaded);
-    private final WaitEstimate waits = new WaitEstimate();
+    private final HistogramLengthModel lengthModel = new HistogramLengthModel();
+    private final BudgetedRetryPolicy retryPolicy = new BudgetedRetryPolicy(this::isOverloaded);
+    private final WaitEstimator waitEstimator = new WaitEstimator();
     private final Router router;
-    private final TimerService.Subscription sweep;
+    private final TimerService.Subscription sweepSubscription;
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final FairQueue<Waiting> queue = new FairQueue<>();
-    private final Map<OrganisationId, Integer> flying = new HashMap<>();
-    private int open;
-    private int sweeps;
+    private final FairQueue<PendingRequest> queue = new FairQueue<>();
+    private final Map<OrganisationId, Integer> inFlightByOrganisation = new HashMap<>();
+    private int inFlight;
+    private int sweepCount;
     private boolean closed;
 
     private volatile Deployment deployment;
 
-    private record Waiting(WorkRequest request, CompletableFuture<Flight> future) {}
+    private record PendingRequest(WorkRequest request, CompletableFuture<Flight> future) {}
 
-    /** A future to complete after the lock has been released. */
-    private record Completion(Waiting waiting, RunningFlight flight, StepException failure) {
+    /** A future that is completed after the lock has been released. */
+    private record Completion(PendingRequest pending, DispatchedRequest dispatched, StepException failure) {
         void run() {
             if (failure != null) {
-                waiting.future().completeExceptionally(failure);
-            } else if (!waiting.future().complete(flight)) {
-                flight.end(FlightEnd.CANCELLED);
+                pending.future().completeExceptionally(failure);
+            } else if (!pending.future().complete(dispatched)) {
+                dispatched.end(FlightEnd.CANCELLED);
             }
         }
     }
@@ -69,7 +69,7 @@
      * @param timer the timer service of the process
      * @param targets the target table of the process
      * @param suspects the suspect table of the process
-     * @param failureDomain where this entry runs
+     * @param failureDomain the failure domain in which this entry runs
      */
     public Dispatcher(TimerService timer, TargetTable targets, SuspectTable suspects, FailureDomain failureDomain) {
         this(timer, targets, suspects, failureDomain, PolicySuite.fromSystemProperty());
@@ -81,8 +81,8 @@
      * @param timer the timer service of the process
      * @param targets the target table of the process
      * @param suspects the suspect table of the process
-     * @param failureDomain where this entry runs
-     * @param policies the decisions to use
+     * @param failureDomain the failure domain in which this entry runs
+     * @param policies the policies to use
      */
     public Dispatcher(
             TimerService timer,
@@ -94,124 +94,125 @@
         this.targets = Objects.requireNonNull(targets, "targets");
         this.suspects = Objects.requireNonNull(suspects, "suspects");
         this.policies = Objects.requireNonNull(policies, "policies");
-        this.router = new Router(timer, targets, suspects, policies, lengths, failureDomain);
-        this.sweep = timer.every(SWEEP, tick -> sweep());
+        this.router = new Router(timer, targets, suspects, policies, lengthModel, failureDomain);
+        this.sweepSubscription = timer.every(SWEEP_INTERVAL, tick -> sweep());
     }
 
-    /** Takes a deployment; passes it on to the target table. */
+    /** Applies a deployment and passes it on to the target table and the router. */
     public void configure(Deployment deployment) {
         this.deployment = Objects.requireNonNull(deployment, "deployment");
         targets.configure(deployment);
         router.configure(deployment);
-        drain();
+        dispatchQueued();
     }
 
     /**
-     * Asks for a target. The future completes when the request may be sent there at once, and the caller must then end
-     * the flight. Cancelling the future withdraws a request that waits.
+     * Acquires a target for a request. The future completes as soon as the request may be sent to the target; the
+     * caller must then end the returned flight. Cancelling the future withdraws a request that is still queued.
      *
-     * @return the flight; fails with a {@link StepException} of step {@code ADMIT} (refused, queue full, deadline) or
-     *     {@code ROUTE} (no target may run the kind), outcome {@code NOT_RUN}, with {@code retryAfter}
+     * @return the request in flight; the future fails with a {@link StepException} of step {@code ADMIT} (refused,
+     *     queue full, deadline) or {@code ROUTE} (no target may run the kind), with the outcome {@code NOT_RUN} and a
+     *     {@code retryAfter}
      */
     public CompletableFuture<Flight> acquire(WorkRequest request) {
         Objects.requireNonNull(request, "request");
-        Waiting waiting = new Waiting(request, new CompletableFuture<>());
+        PendingRequest pending = new PendingRequest(request, new CompletableFuture<>());
         Completion completion;
         lock.lock();
         try {
-            completion = closed ? refuse(waiting, Step.ADMIT, "this entry is stopping", RETRY_AFTER) : decide(waiting);
+            completion = closed ? refuse(pending, Step.ADMIT, "this entry is stopping", RETRY_AFTER) : decide(pending);
         } finally {
             lock.unlock();
         }
         if (completion != null) {
             completion.run();
         }
-        return waiting.future();
+        return pending.future();
     }
 
-    /** Decides on a new request; returns {@code null} if it waits. */
-    private Completion decide(Waiting waiting) {
-        WorkRequest request = waiting.request();
+    /** Decides on a new request; returns {@code null} if it is queued. */
+    private Completion decide(PendingRequest pending) {
+        WorkRequest request = pending.request();
         if (suspects.check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
-            return refuse(waiting, Step.ADMIT, "the request crashes targets", RETRY_AFTER);
+            return refuse(pending, Step.ADMIT, "the request crashes targets", RETRY_AFTER);
         }
-        if (!targets.anyMayRun(request.kind())) {
-            return refuse(waiting, Step.ROUTE, "no target can run this kind now", RETRY_AFTER);
+        if (!targets.hasEligibleTarget(request.kind())) {
+            return refuse(pending, Step.ROUTE, "no target can run this kind now", RETRY_AFTER);
         }
         Kind kind = request.kind();
-        boolean behind = queue.size(kind.name()) > 0;
-        Optional<TargetState> choice = behind ? Optional.empty() : router.choose(request);
-        return switch (policies.admission().decide(input(request, choice.isPresent()))) {
+        boolean othersQueued = queue.size(kind.name()) > 0;
+        Optional<TargetState> choice = othersQueued ? Optional.empty() : router.choose(request);
+        return switch (policies.admission().decide(admissionInput(request, choice.isPresent()))) {
             case AdmissionDecision.Admit admit ->
                 choice.isPresent()
-                        ? new Completion(waiting, start(request, choice.get()), null)
-                        : refuse(waiting, Step.ADMIT, "no target has room", RETRY_AFTER);
+                        ? new Completion(pending, dispatch(request, choice.get()), null)
+                        : refuse(pending, Step.ADMIT, "no target has room", RETRY_AFTER);
             case AdmissionDecision.Queue wait -> {
                 choice.ifPresent(state ->
                         suspects.release(request.fingerprint(), state.target().id()));
-                enqueue(waiting);
+                enqueue(pending);
                 yield null;
             }
             case AdmissionDecision.Refuse refusal -> {
                 choice.ifPresent(state ->
                         suspects.release(request.fingerprint(), state.target().id()));
-                yield refuse(waiting, Step.ADMIT, refusal.reason(), refusal.retryAfter());
+                yield refuse(pending, Step.ADMIT, refusal.reason(), refusal.retryAfter());
             }
         };
     }
 
-    private AdmissionInput input(WorkRequest request, boolean room) {
+    private AdmissionInput admissionInput(WorkRequest request, boolean hasCapacity) {
         OrganisationId organisation = request.organisation().id();
-        double ahead =
-                queue.ahead(request.kind(), organisation, request.organisation().share());
+        double requestsAhead = queue.requestsAhead(
+                request.kind(), organisation, request.organisation().share());
         return new AdmissionInput(
                 request.kind(),
                 request.organisation(),
-                timeLeft(request),
-                open + queue.size(),
-                flying.getOrDefault(organisation, 0) + queue.size(organisation),
+                remainingTime(request),
+                inFlight + queue.size(),
+                inFlightByOrganisation.getOrDefault(organisation, 0) + queue.size(organisation),
                 queue.size(),
                 queue.size(organisation),
                 deployment == null ? 0 : deployment.limits().maxQueued(),
-                room,
-                waits.expected(request.kind().name(), ahead, timer.nanos()));
+                hasCapacity,
+                waitEstimator.expectedWait(request.kind().name(), requestsAhead, timer.nanos()));
     }
 
-    private void enqueue(Waiting waiting) {
-        WorkRequest request = waiting.request();
+    private void enqueue(PendingRequest pending) {
+        WorkRequest request = pending.request();
         double cost = 1;
         if (request.kind().runsOn() == TargetType.ENGINE) {
             OrganisationId organisation = request.organisation().id();
-            cost = request.promptTokens() + lengths.expectedRemaining(request.kind(), organisation, 0);
+            cost = request.promptTokens() + lengthModel.expectedRemaining(request.kind(), organisation, 0);
         }
         queue.add(
                 request.kind(),
                 request.organisation().id(),
                 request.organisation().share(),
-                new FairQueue.Entry<>(waiting, cost, timer.nanos()));
+                new FairQueue.Item<>(pending, cost, timer.nanos()));
     }
 
-    private RunningFlight start(WorkRequest request, TargetState state) {
-        RunningFlight flight = new RunningFlight(request, state, lengths, timer::nanos, this::ended);
-        state.started(flight, timer.nanos());
-        router.started(request, state);
-        waits.started(request.kind().name(), timer.nanos());
-        flying.merge(request.organisation().id(), 1, Integer::sum);
-        open++;
-        return flight;
+    private DispatchedRequest dispatch(WorkRequest request, TargetState state) {
+        DispatchedRequest dispatched = new DispatchedRequest(request, state, lengthModel, timer::nanos, this::onEnded);
+        state.add(dispatched, timer.nanos());
+        router.onDispatched(request, state);
+        waitEstimator.recordStart(request.kind().name(), timer.nanos());
+        inFlightByOrganisation.merge(request.organisation().id(), 1, Integer::sum);
+        inFlight++;
+        return dispatched;
     }
 
-    /** Returns the retry policy, which shares this dispatcher's budgets. */
+    /** Returns the retry policy, which draws on the retry budgets of this dispatcher. */
     public RetryPolicy retries() {
-        return retries;
+        return retryPolicy;
     }
 
-    /** Returns the model of output lengths, which learns from the flights that end. */
-    public LengthModel lengths() {
-        return lengths;
+    /** Returns the model of output lengths, which learns from completed requests. */
+    public LengthModel lengthModel() {
+        return lengthModel;
     }
 
-    /** Returns the number of requests that wait. */
+    /** Returns the number of queued requests. */
     public int queued() {
         lock.lock();
         try {
@@ -221,66 +222,66 @@
         }
     }
 
-    /** Returns the number of flights that have not ended. */
-    public int open() {
+    /** Returns the number of requests in flight. */
+    public int inFlight() {
         lock.lock();
         try {
-            return open;
+            return inFlight;
         } finally {
             lock.unlock();
         }
     }
 
-    /** Returns the time until a deadline of {@link WorkRequest}, never negative. */
-    public Duration timeLeft(WorkRequest request) {
+    /** Returns the time until the deadline of a request, never negative. */
+    public Duration remainingTime(WorkRequest request) {
         return Duration.ofNanos(Math.max(0, request.deadlineNanos() - timer.nanos()));
     }
 
-    private boolean overloaded() {
-        Deployment present = deployment;
-        return present != null && queued() > present.limits().maxQueued() / 2;
+    private boolean isOverloaded() {
+        Deployment current = deployment;
+        return current != null && queued() > current.limits().maxQueued() / 2;
     }
 
-    private void ended(RunningFlight flight, FlightEnd end) {
-        TargetState state = flight.state();
-        WorkRequest request = flight.request();
+    private void onEnded(DispatchedRequest dispatched, FlightEnd end) {
+        TargetState state = dispatched.state();
+        WorkRequest request = dispatched.request();
         OrganisationId organisation = request.organisation().id();
-        List<RunningFlight> crashed = state.ended(flight, end, timer.nanos());
-        if (!crashed.isEmpty()) {
-            List<Fingerprint> there =
-                    crashed.stream().map(f -> f.request().fingerprint()).toList();
-            suspects.crashed(state.target().id(), there, there.size() == 1 && state.peerRequests() == 0);
+        List<DispatchedRequest> affected = state.remove(dispatched, end, timer.nanos());
+        if (!affected.isEmpty()) {
+            List<Fingerprint> fingerprints =
+                    affected.stream().map(d -> d.request().fingerprint()).toList();
+            suspects.crashed(state.target().id(), fingerprints, fingerprints.size() == 1 && state.peerRequests() == 0);
         }
         suspects.release(request.fingerprint(), state.target().id());
         if (end == FlightEnd.DONE) {
             suspects.cleared(request.fingerprint());
-            retries.success(organisation, state.target().id());
+            retryPolicy.recordSuccess(organisation, state.target().id());
             if (request.kind().runsOn() == TargetType.ENGINE) {
-                lengths.finished(request.kind(), organisation, flight.tokens());
+                lengthModel.observe(request.kind(), organisation, dispatched.outputTokens());
             }
         } else if (end == FlightEnd.REFUSED) {
-            state.refused(timer.nanos());
+            state.onRefused(timer.nanos());
         } else if (end == FlightEnd.UNREACHABLE || end == FlightEnd.CRASHED) {
-            state.unreachable(timer.nanos());
+            state.onUnreachable(timer.nanos());
         }
         lock.lock();
         try {
-            open--;
-            flying.computeIfPresent(organisation, (id, count) -> count == 1 ? null : count - 1);
+            inFlight--;
+            inFlightByOrganisation.computeIfPresent(organisation, (id, count) -> count == 1 ? null : count - 1);
         } finally {
             lock.unlock();
         }
-        drain();
+        dispatchQueued();
     }
 
     private void sweep() {
-        if (++sweeps % SWEEPS_PER_VIEW == 0) {
-            router.renewView();
+        if (++sweepCount % SWEEPS_PER_SUMMARY == 0) {
+            router.refreshSummary();
         }
-        drain();
+        dispatchQueued();
     }
 
-    private void drain() {
+    private void dispatchQueued() {
         List<Completion> completions = new ArrayList<>();
         lock.lock();
         try {
@@ -288,11 +289,11 @@
                 return;
             }
             long now = timer.nanos();
-            for (Waiting late : queue.removeIf(e -> isOver(e.value(), now))) {
-                completions.add(refuse(late, Step.ADMIT, "the deadline passed while waiting", RETRY_AFTER));
+            for (PendingRequest removed : queue.removeIf(e -> isCancelledOrExpired(e.value(), now))) {
+                completions.add(refuse(removed, Step.ADMIT, "the deadline passed while waiting", RETRY_AFTER));
             }
-            while (queue.offer(now, waiting -> take(waiting, completions))) {
-                // Each round starts at most one request of each kind, so that kinds take turns.
+            while (queue.dispatch(now, pending -> tryDispatch(pending, completions))) {
+                // Each round starts at most one request of each kind, so that the kinds take turns.
             }
         } finally {
             lock.unlock();
@@ -300,39 +301,39 @@
         completions.forEach(Completion::run);
     }
 
-    private static boolean isOver(Waiting waiting, long now) {
-        return waiting.future().isDone() || waiting.request().deadlineNanos() - now <= 0;
+    private static boolean isCancelledOrExpired(PendingRequest pending, long now) {
+        return pending.future().isDone() || pending.request().deadlineNanos() - now <= 0;
     }
 
-    private boolean take(Waiting waiting, List<Completion> completions) {
-        WorkRequest request = waiting.request();
+    private boolean tryDispatch(PendingRequest pending, List<Completion> completions) {
+        WorkRequest request = pending.request();
         if (suspects.check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
-            completions.add(refuse(waiting, Step.ADMIT, "the request crashes targets", RETRY_AFTER));
+            completions.add(refuse(pending, Step.ADMIT, "the request crashes targets", RETRY_AFTER));
             return true;
         }
         Optional<TargetState> choice = router.choose(request);
-        choice.ifPresent(state -> completions.add(new Completion(waiting, start(request, state), null)));
+        choice.ifPresent(state -> completions.add(new Completion(pending, dispatch(request, state), null)));
         return choice.isPresent();
     }
 
-    private static Completion refuse(Waiting waiting, Step step, String message, Duration retryAfter) {
-        String kind = waiting.request().kind().name().value();
-        return new Completion(waiting, null, new StepException(step, kind, Outcome.NOT_RUN, message, null, retryAfter));
+    private static Completion refuse(PendingRequest pending, Step step, String message, Duration retryAfter) {
+        String kind = pending.request().kind().name().value();
+        return new Completion(pending, null, new StepException(step, kind, Outcome.NOT_RUN, message, null, retryAfter));
     }
 
-    /** Refuses what waits and stops; flights may still end afterwards. */
+    /** Refuses all queued requests and stops; requests in flight may still end afterwards. */
     @Override
     public void close() {
-        sweep.cancel();
-        List<Waiting> left;
+        sweepSubscription.cancel();
+        List<PendingRequest> remaining;
         lock.lock();
         try {
             closed = true;
-            left = queue.removeIf(e -> true);
+            remaining = queue.removeIf(e -> true);
         } finally {
             lock.unlock();
         }
-        left.forEach(w ->
-                refuse(w, Step.ADMIT, "this entry is stopping", RETRY_AFTER).run());
+        remaining.forEach(p ->
+                refuse(p, Step.ADMIT, "this entry is stopping", RETRY_AFTER).run());
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/FairQueue.java
+++ b/core/src/main/java/org/verbenatally/policy/FairQueue.java
@@ -17,53 +17,56 @@
 import org.verbenatally.core.OrganisationId;
 
 /**
- * Bounded queue of requests in lanes by kind. Lanes are ordered by urgency, value and the age of their oldest request.
- * Within a lane, organisations take turns in proportion to their shares (start-time fair queueing). Not safe for use by
- * several threads.
+ * Queue of requests, divided by kind. The kinds are ordered by urgency, value and the age of their oldest request.
+ * Within a kind, organisations take turns in proportion to their shares (start-time fair queueing). The admission
+ * policy bounds the size. Not safe for use by several threads.
  *
- * @param <T> what waits
+ * @param <T> type of the queued values
  */
 final class FairQueue<T> {
-    /** Patient work gains one class by waiting this long. */
+    /** Waiting time, in nanoseconds, after which patient work moves up by one rank. */
     private static final long AGEING_NANOS = Duration.ofSeconds(10).toNanos();
-    /** Patient work never goes before urgent work, however long it has waited. */
+    /** Best rank of patient work, so that it never goes before urgent work, however long it has waited. */
     private static final double BEST_PATIENT_RANK = 0.5;
 
     /**
-     * One waiting item.
+     * One queued item.
      *
-     * @param value what waits
+     * @param value the queued value
      * @param cost expected tokens
-     * @param sinceNanos when it was added
+     * @param enqueuedNanos monotonic time at which it was added, in nanoseconds
      */
-    record Entry<T>(T value, double cost, long sinceNanos) {}
+    record Item<T>(T value, double cost, long enqueuedNanos) {}
 
-    /** The waiting requests of one organisation in one lane; {@code start} is the virtual start of its first one. */
+    /**
+     * The queued requests of one organisation for one kind; {@code virtualStart} is the virtual start time of the
+     * first.
+     */
     private final class Flow {
-        final Deque<Entry<T>> entries = new ArrayDeque<>();
+        final Deque<Item<T>> items = new ArrayDeque<>();
         final double share;
-        double start;
+        double virtualStart;
 
-        Flow(double share, double start) {
+        Flow(double share, double virtualStart) {
             this.share = share;
-            this.start = start;
+            this.virtualStart = virtualStart;
         }
     }
 
-    /** The requests of one kind. */
-    private final class Lane {
+    /** The queued requests of one kind. */
+    private final class KindQueue {
         final Kind kind;
         final Map<OrganisationId, Flow> flows = new HashMap<>();
         double virtualTime;
 
-        Lane(Kind kind) {
+        KindQueue(Kind kind) {
             this.kind = kind;
         }
 
-        long oldest() {
+        long oldestEnqueuedNanos() {
             long oldest = Long.MAX_VALUE;
             for (Flow flow : flows.values()) {
-                oldest = Math.min(oldest, flow.entries.getFirst().sinceNanos());
+                oldest = Math.min(oldest, flow.items.getFirst().enqueuedNanos());
             }
             return oldest;
         }
@@ -73,11 +76,11 @@
                 return 0;
             }
             double rank = kind.value() == Kind.Value.HIGH ? 1 : 2;
-            return Math.max(BEST_PATIENT_RANK, rank - (double) (now - oldest()) / AGEING_NANOS);
+            return Math.max(BEST_PATIENT_RANK, rank - (double) (now - oldestEnqueuedNanos()) / AGEING_NANOS);
         }
     }
 
-    private final Map<KindName, Lane> lanes = new HashMap<>();
+    private final Map<KindName, KindQueue> kindQueues = new HashMap<>();
     private final Map<OrganisationId, Integer> sizes = new HashMap<>();
     private int size;
 
@@ -89,85 +92,92 @@
         return sizes.getOrDefault(organisation, 0);
     }
 
-    /** Returns how many requests of a kind wait. */
+    /** Returns the number of queued requests of a kind. */
     int size(KindName kind) {
-        Lane lane = lanes.get(kind);
-        return lane == null
+        KindQueue kindQueue = kindQueues.get(kind);
+        return kindQueue == null
                 ? 0
-                : lane.flows.values().stream().mapToInt(f -> f.entries.size()).sum();
+                : kindQueue.flows.values().stream()
+                        .mapToInt(f -> f.items.size())
+                        .sum();
     }
 
-    /** Returns how many requests of a kind go before a new one of an organisation, if turns are shared fairly. */
-    double ahead(Kind kind, OrganisationId organisation, double share) {
-        Lane lane = lanes.get(kind.name());
-        if (lane == null) {
+    /**
+     * Returns how many requests of a kind would be served before a new one of an organisation, if the shares are
+     * observed.
+     */
+    double requestsAhead(Kind kind, OrganisationId organisation, double share) {
+        KindQueue kindQueue = kindQueues.get(kind.name());
+        if (kindQueue == null) {
             return 0;
         }
-        Flow own = lane.flows.get(organisation);
-        int mine = own == null ? 0 : own.entries.size();
-        double ahead = mine;
-        for (Flow flow : lane.flows.values()) {
+        Flow own = kindQueue.flows.get(organisation);
+        int ownSize = own == null ? 0 : own.items.size();
+        double ahead = ownSize;
+        for (Flow flow : kindQueue.flows.values()) {
             if (flow != own) {
-                ahead += Math.min(flow.entries.size(), (mine + 1) * flow.share / share);
+                ahead += Math.min(flow.items.size(), (ownSize + 1) * flow.share / share);
             }
         }
         return ahead;
     }
 
-    /** Adds a request at the end of its organisation's turn. */
-    void add(Kind kind, OrganisationId organisation, double share, Entry<T> entry) {
-        Lane lane = lanes.computeIfAbsent(kind.name(), name -> new Lane(kind));
-        lane.flows
-                .computeIfAbsent(organisation, id -> new Flow(share, lane.virtualTime))
-                .entries
-                .addLast(entry);
+    /** Adds a request behind the other requests of its organisation. */
+    void add(Kind kind, OrganisationId organisation, double share, Item<T> item) {
+        KindQueue kindQueue = kindQueues.computeIfAbsent(kind.name(), name -> new KindQueue(kind));
+        kindQueue
+                .flows
+                .computeIfAbsent(organisation, id -> new Flow(share, kindQueue.virtualTime))
+                .items
+                .addLast(item);
         sizes.merge(organisation, 1, Integer::sum);
         size++;
     }
 
     /**
-     * Offers the first request of each lane, best lane first, and removes those that are taken.
+     * Offers the first request of each kind in the order of their ranks, and removes those that are started.
      *
-     * @param take tries to start a request and tells whether it did
-     * @return whether any was taken
+     * @param now the monotonic time, in nanoseconds
+     * @param tryStart tries to start a request and returns whether it did
+     * @return whether any request was started
      */
-    boolean offer(long now, Predicate<T> take) {
-        List<Lane> order = new ArrayList<>(lanes.values());
-        order.sort(Comparator.comparingDouble(lane -> lane.rank(now)));
-        boolean any = false;
-        for (Lane lane : order) {
-            any |= offerFirst(lane, take);
+    boolean dispatch(long now, Predicate<T> tryStart) {
+        List<KindQueue> order = new ArrayList<>(kindQueues.values());
+        order.sort(Comparator.comparingDouble(kindQueue -> kindQueue.rank(now)));
+        boolean anyStarted = false;
+        for (KindQueue kindQueue : order) {
+            anyStarted |= dispatchFirst(kindQueue, tryStart);
         }
-        return any;
+        return anyStarted;
     }
 
-    private boolean offerFirst(Lane lane, Predicate<T> take) {
+    private boolean dispatchFirst(KindQueue kindQueue, Predicate<T> tryStart) {
         Optional<Map.Entry<OrganisationId, Flow>> first =
-                lane.flows.entrySet().stream().min(Comparator.comparingDouble(e -> e.getValue().start));
+                kindQueue.flows.entrySet().stream().min(Comparator.comparingDouble(e -> e.getValue().virtualStart));
         if (first.isEmpty()
-                || !take.test(first.get().getValue().entries.getFirst().value())) {
+                || !tryStart.test(first.get().getValue().items.getFirst().value())) {
             return false;
         }
         Flow flow = first.get().getValue();
-        Entry<T> taken = flow.entries.removeFirst();
-        lane.virtualTime = flow.start;
-        flow.start += taken.cost() / flow.share;
-        removed(lane, first.get().getKey(), flow);
+        Item<T> taken = flow.items.removeFirst();
+        kindQueue.virtualTime = flow.virtualStart;
+        flow.virtualStart += taken.cost() / flow.share;
+        onRemoved(kindQueue, first.get().getKey(), flow);
         return true;
     }
 
-    /** Removes all requests that match and returns them. */
-    List<T> removeIf(Predicate<Entry<T>> match) {
+    /** Removes all items that match the filter and returns their values. */
+    List<T> removeIf(Predicate<Item<T>> filter) {
         List<T> removed = new ArrayList<>();
-        for (Lane lane : List.copyOf(lanes.values())) {
-            for (Map.Entry<OrganisationId, Flow> row : List.copyOf(lane.flows.entrySet())) {
-                Iterator<Entry<T>> entries = row.getValue().entries.iterator();
-                while (entries.hasNext()) {
-                    Entry<T> entry = entries.next();
-                    if (match.test(entry)) {
-                        entries.remove();
-                        removed.add(entry.value());
-                        removed(lane, row.getKey(), row.getValue());
+        for (KindQueue kindQueue : List.copyOf(kindQueues.values())) {
+            for (Map.Entry<OrganisationId, Flow> flowEntry : List.copyOf(kindQueue.flows.entrySet())) {
+                Iterator<Item<T>> items = flowEntry.getValue().items.iterator();
+                while (items.hasNext()) {
+                    Item<T> item = items.next();
+                    if (filter.test(item)) {
+                        items.remove();
+                        removed.add(item.value());
+                        onRemoved(kindQueue, flowEntry.getKey(), flowEntry.getValue());
                     }
                 }
             }
@@ -175,14 +185,14 @@
         return removed;
     }
 
-    private void removed(Lane lane, OrganisationId organisation, Flow flow) {
+    private void onRemoved(KindQueue kindQueue, OrganisationId organisation, Flow flow) {
         size--;
         sizes.computeIfPresent(organisation, (id, count) -> count == 1 ? null : count - 1);
-        if (flow.entries.isEmpty()) {
-            lane.flows.remove(organisation);
+        if (flow.items.isEmpty()) {
+            kindQueue.flows.remove(organisation);
         }
-        if (lane.flows.isEmpty()) {
-            lanes.remove(lane.kind.name());
+        if (kindQueue.flows.isEmpty()) {
+            kindQueues.remove(kindQueue.kind.name());
         }
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/Fingerprint.java
+++ b/core/src/main/java/org/verbenatally/policy/Fingerprint.java
@@ -26,8 +26,8 @@
      * Returns the fingerprint of a forwarded request.
      *
      * @param caller organisation of the caller, empty if unknown
-     * @param path its path
-     * @param body its whole body
+     * @param path path of the request
+     * @param body complete body of the request
      */
     public static Fingerprint of(String caller, String path, byte[] body) {
         Objects.requireNonNull(body, "body");
--- a/core/src/main/java/org/verbenatally/policy/Flight.java
+++ b/core/src/main/java/org/verbenatally/policy/Flight.java
@@ -3,17 +3,17 @@
 import org.verbenatally.core.TargetId;
 
 /**
- * One attempt in flight on a target. It counts against the target and the organisation until it ends, so each flight
- * must be ended exactly once; ending it again does nothing. Safe for use by several threads.
+ * One attempt in flight at a target. It counts against the limits of the target and the organisation until it ends, so
+ * it must be ended; ending it again has no effect. Safe for use by several threads.
  */
 public interface Flight {
 
     /** Returns the target that runs the attempt. */
     TargetId target();
 
-    /** Counts one output token that arrived now. */
+    /** Records an output token that has just arrived. */
     void token();
 
-    /** Ends the attempt and releases its place. */
+    /** Ends the attempt and releases its slot. */
     void end(FlightEnd end);
 }
--- a/core/src/main/java/org/verbenatally/policy/FlightEnd.java
+++ b/core/src/main/java/org/verbenatally/policy/FlightEnd.java
@@ -2,7 +2,7 @@
 
 /** How an attempt on a target ended. */
 public enum FlightEnd {
-    /** The target answered completely. */
+    /** The target sent a complete response. */
     DONE,
     /** The target refused the work (503) and has not run it. */
     REFUSED,
@@ -10,7 +10,10 @@
     FAILED,
     /** No connection to the target could be made, so it has not run the work. */
     UNREACHABLE,
-    /** The target died while the attempt ran: reset connection and a new incarnation or refused connections. */
+    /**
+     * The target crashed while the attempt ran: the connection was reset, and the target then refused connections or
+     * had a new incarnation.
+     */
     CRASHED,
     /** The caller or this entry ended the attempt. */
     CANCELLED
--- a/core/src/main/java/org/verbenatally/policy/KvForecast.java
+++ b/core/src/main/java/org/verbenatally/policy/KvForecast.java
@@ -1,32 +1,32 @@
 package org.verbenatally.policy;
 
 /**
- * Expected use of key-value memory on one engine after some more decoding steps, if no further request is sent there. A
- * request grows by a token a step and releases its memory when it ends; ends are taken as memoryless with the expected
- * remaining length as mean. Taking that length as certain instead would predict far too high a peak, as it lets every
- * request reach its full size before any shorter one ends.
+ * Expected use of key-value memory on one engine over the next decoding steps, if no further request is sent there. A
+ * request grows by one token per step and releases its memory when it ends. Ends are modelled as memoryless, with the
+ * expected remaining length as the mean. If that length were taken as certain, the predicted peak would be far too
+ * high, because every request would reach its full size before any shorter one ends.
  */
 final class KvForecast {
-    /** Decoding steps at which the forecast is made. At 35 ms a step, they cover two minutes. */
+    /** Numbers of decoding steps for which the forecast is made. At 35 ms per step, they cover two minutes. */
     private static final int[] STEPS = {0, 50, 100, 200, 400, 800, 1600, 3200};
 
     private final double[] tokens = new double[STEPS.length];
 
     /**
-     * Adds requests that hold some tokens each and are expected to add some more each.
+     * Adds requests that hold the same number of tokens and are expected to grow by the same number.
      *
-     * @param held tokens that each holds
-     * @param remaining tokens that each is expected to add, positive
-     * @param weight number of such requests
+     * @param heldTokens tokens that each request holds
+     * @param remainingTokens tokens that each request is expected to add, positive
+     * @param count number of such requests
      */
-    void add(double held, double remaining, double weight) {
+    void add(double heldTokens, double remainingTokens, double count) {
         for (int i = 0; i < STEPS.length; i++) {
-            tokens[i] += weight * expected(i, held, remaining);
+            tokens[i] += count * expectedTokens(i, heldTokens, remainingTokens);
         }
     }
 
-    private static double expected(int i, double held, double remaining) {
-        return (held + STEPS[i]) * Math.exp(-STEPS[i] / remaining);
+    private static double expectedTokens(int i, double heldTokens, double remainingTokens) {
+        return (heldTokens + STEPS[i]) * Math.exp(-STEPS[i] / remainingTokens);
     }
 
     /** Returns the largest expected use of memory, in tokens. */
@@ -39,24 +39,24 @@
     }
 
     /** Returns the largest expected use of memory with one more request, in tokens. */
-    double peakWith(double held, double remaining) {
+    double peakWith(double heldTokens, double remainingTokens) {
         double peak = 0;
         for (int i = 0; i < STEPS.length; i++) {
-            peak = Math.max(peak, tokens[i] + expected(i, held, remaining));
+            peak = Math.max(peak, tokens[i] + expectedTokens(i, heldTokens, remainingTokens));
         }
         return peak;
     }
 
-    /** Returns how many requests fit beside the present ones into a memory of some tokens; may be negative. */
-    double room(double held, double remaining, double memory) {
-        double room = Double.MAX_VALUE;
+    /** Returns how many more requests like this one fit into a memory of the given size in tokens; may be negative. */
+    double additionalRequests(double heldTokens, double remainingTokens, double memoryTokens) {
+        double requests = Double.MAX_VALUE;
         for (int i = 0; i < STEPS.length; i++) {
-            double need = expected(i, held, remaining);
-            // What is left of the request by then is too little to decide on.
-            if (need > 1) {
-                room = Math.min(room, (memory - tokens[i]) / need);
+            double needed = expectedTokens(i, heldTokens, remainingTokens);
+            // What remains of the request at this step is too little to decide on.
+            if (needed > 1) {
+                requests = Math.min(requests, (memoryTokens - tokens[i]) / needed);
             }
         }
-        return room;
+        return requests;
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/LengthHistogram.java
+++ b/core/src/main/java/org/verbenatally/policy/LengthHistogram.java
@@ -1,64 +1,65 @@
 package org.verbenatally.policy;
 
 /**
- * Output lengths in buckets that grow by the square root of two. Holds at most {@link #MEMORY} observations' weight:
- * older ones fade, so that the histogram follows a change of the work. Not safe for use by several threads.
+ * Output lengths in buckets that grow by the square root of two. The total weight of the observations is at most {@link
+ * #MAX_TOTAL_WEIGHT}: older ones decay, so that the histogram follows changes in the work. Not safe for use by several
+ * threads.
  */
 final class LengthHistogram {
-    /** Largest total weight; reaching it halves all counts. */
-    static final int MEMORY = 1024;
-    /** Covers lengths up to a million tokens. */
+    /** Largest total weight; all weights are halved when it is exceeded. */
+    static final int MAX_TOTAL_WEIGHT = 1024;
+    /** Number of buckets; they cover lengths up to a million tokens. */
     private static final int BUCKETS = 42;
 
-    private final float[] counts = new float[BUCKETS];
-    private float total;
+    private final float[] weights = new float[BUCKETS];
+    private float totalWeight;
 
-    /** Adds one observed length with a weight. */
+    /** Adds an observed length with a weight. */
     void add(int tokens, float weight) {
-        counts[bucket(tokens)] += weight;
-        total += weight;
-        if (total > MEMORY) {
-            total = 0;
+        weights[bucket(tokens)] += weight;
+        totalWeight += weight;
+        if (totalWeight > MAX_TOTAL_WEIGHT) {
+            totalWeight = 0;
             for (int i = 0; i < BUCKETS; i++) {
-                counts[i] /= 2;
-                total += counts[i];
+                weights[i] /= 2;
+                totalWeight += weights[i];
             }
         }
     }
 
     /** Returns the weight of all observations. */
-    double total() {
-        return total;
+    double totalWeight() {
+        return totalWeight;
     }
 
-    /** Returns the weight of observations that are longer than {@code soFar}; the present bucket counts in part. */
-    double weightAbove(int soFar) {
-        int first = bucket(soFar + 1);
-        double weight = counts[first] * partAbove(first, soFar);
+    /** Returns the weight of the observations above a length; the bucket of the length counts in part. */
+    double weightAbove(int length) {
+        int first = bucket(length + 1);
+        double weight = weights[first] * shareAbove(first, length);
         for (int i = first + 1; i < BUCKETS; i++) {
-            weight += counts[i];
+            weight += weights[i];
         }
         return weight;
     }
 
-    /** Returns the sum, over observations longer than {@code soFar}, of what they exceed it by. */
-    double excessAbove(int soFar) {
-        int first = bucket(soFar + 1);
+    /** Returns the weighted sum of the excess of the observations above a length, in tokens. */
+    double excessAbove(int length) {
+        int first = bucket(length + 1);
         double excess = 0;
         for (int i = first; i < BUCKETS; i++) {
-            if (counts[i] > 0) {
-                double from = Math.max(low(i), soFar);
-                double part = i == first ? partAbove(first, soFar) : 1;
-                excess += counts[i] * part * ((from + low(i + 1)) / 2 - soFar);
+            if (weights[i] > 0) {
+                double from = Math.max(lowerBound(i), length);
+                double share = i == first ? shareAbove(first, length) : 1;
+                excess += weights[i] * share * ((from + lowerBound(i + 1)) / 2 - length);
             }
         }
         return excess;
     }
 
-    private static double partAbove(int bucket, int soFar) {
-        double low = low(bucket);
-        double high = low(bucket + 1);
-        return Math.clamp((high - soFar) / (high - low), 0, 1);
+    private static double shareAbove(int bucket, int length) {
+        double lower = lowerBound(bucket);
+        double upper = lowerBound(bucket + 1);
+        return Math.clamp((upper - length) / (upper - lower), 0, 1);
     }
 
     static int bucket(int tokens) {
@@ -70,7 +71,7 @@
         return Math.min(BUCKETS - 1, index);
     }
 
-    private static double low(int bucket) {
+    private static double lowerBound(int bucket) {
         return bucket == 0 ? 0 : Math.pow(2, bucket / 2.0);
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/PolicySuite.java
+++ b/core/src/main/java/org/verbenatally/policy/PolicySuite.java
@@ -5,11 +5,11 @@
 import java.util.Objects;
 
 /**
- * The decisions that a {@link Dispatcher} uses together.
+ * The policies that a {@link Dispatcher} uses together.
  *
- * @param name name by which the suite is chosen
+ * @param name name by which the suite is selected
  * @param routing chooses targets
- * @param admission admits, queues and refuses
+ * @param admission admits, queues and refuses requests
  * @param adaptive whether the concurrency limit learned for each target applies
  */
 public record PolicySuite(String name, RoutingPolicy routing, AdmissionPolicy admission, boolean adaptive) {
@@ -28,19 +28,19 @@
             "key-value-pressure",
             "key-value-pressure-corrected");
 
-    /** Checks the parts. */
+    /** Checks that no component is null. */
     public PolicySuite {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(routing, "routing");
         Objects.requireNonNull(admission, "admission");
     }
 
-    /** Returns the names that {@link #byName} knows, the default first. */
+    /** Returns the names that {@link #byName} accepts, the default first. */
     public static List<String> names() {
         return NAMES;
     }
 
-    /** Tells whether a suite is a candidate that uses this system's own estimates, and not a baseline. */
+    /** Returns whether the named suite is a candidate that uses this system's own estimates, rather than a baseline. */
     public static boolean isCandidate(String name) {
         return name.endsWith("-corrected");
     }
@@ -70,14 +70,14 @@
     }
 
     private static PolicySuite baseline(String name, RoutingPolicy routing) {
-        return new PolicySuite(name, routing, PolicySuite::admitIfRoom, false);
+        return new PolicySuite(name, routing, PolicySuite::admitIfCapacity, false);
     }
 
-    private static AdmissionDecision admitIfRoom(AdmissionInput input) {
-        if (input.room()) {
+    private static AdmissionDecision admitIfCapacity(AdmissionInput input) {
+        if (input.hasCapacity()) {
             return new AdmissionDecision.Admit();
         }
-        return input.queued() < input.maxQueued()
+        return input.queuedRequests() < input.maxQueued()
                 ? new AdmissionDecision.Queue()
                 : new AdmissionDecision.Refuse("too many requests wait", Duration.ofSeconds(1));
     }
--- a/core/src/main/java/org/verbenatally/policy/PrefixTable.java
+++ b/core/src/main/java/org/verbenatally/policy/PrefixTable.java
@@ -6,12 +6,12 @@
 
 import org.verbenatally.core.TargetId;
 
-/** Remembers where a prompt prefix ran last. Safe for use by several threads. */
+/** Records the target on which each prompt prefix last ran. Safe for use by several threads. */
 final class PrefixTable {
-    /** Prefixes remembered; engines cache some hundreds each. */
+    /** Number of prefixes that are kept; each engine caches some hundreds. */
     private static final int MAX_PREFIXES = 4096;
 
-    private final Map<Long, TargetId> last = new LinkedHashMap<>(64, 0.75f, true) {
+    private final Map<Long, TargetId> targetsByPrefix = new LinkedHashMap<>(64, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
@@ -20,15 +20,15 @@
         }
     };
 
-    /** Remembers the target of a prefix; the hash 0 stands for no prefix. */
-    synchronized void ran(long prefixHash, TargetId target) {
+    /** Records the target of a prefix; the hash 0 means that there is no prefix. */
+    synchronized void recordTarget(long prefixHash, TargetId target) {
         if (prefixHash != 0) {
-            last.put(prefixHash, target);
+            targetsByPrefix.put(prefixHash, target);
         }
     }
 
-    /** Returns the target on which the prefix ran last. */
-    synchronized Optional<TargetId> target(long prefixHash) {
-        return prefixHash == 0 ? Optional.empty() : Optional.ofNullable(last.get(prefixHash));
+    /** Returns the target on which the prefix last ran. */
+    synchronized Optional<TargetId> lastTarget(long prefixHash) {
+        return prefixHash == 0 ? Optional.empty() : Optional.ofNullable(targetsByPrefix.get(prefixHash));
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/ReportedLoad.java
+++ b/core/src/main/java/org/verbenatally/policy/ReportedLoad.java
@@ -7,18 +7,18 @@
 import org.verbenatally.core.ModelName;
 
 /**
- * A load report as a target sent it. The values are not trusted: the target table checks them, and nonsense affects
- * only the traffic of that target.
+ * A load report as received from a target. The values are not trusted: the target table checks them, and wrong values
+ * affect only the traffic of that target.
  *
- * @param incarnation the target's run
- * @param atMs when the target made the report, in milliseconds since the epoch on its own clock
+ * @param incarnation the target's incarnation
+ * @param atMs when the target created the report, in milliseconds since the epoch on its own clock
  * @param running requests in its batch
- * @param waiting requests that wait there
+ * @param waiting requests that wait at the target
  * @param kvUsedTokens tokens held in key-value memory; 0 for plain services
  * @param kvCapacityTokens tokens that key-value memory can hold; 0 for plain services
- * @param preemptions preemptions since it started
+ * @param preemptions preemptions since the target started
  * @param models loaded models; empty for plain services
- * @param leaving whether it is to receive no new work
+ * @param leaving whether the target must get no new work
  */
 public record ReportedLoad(
         Incarnation incarnation,
--- a/core/src/main/java/org/verbenatally/policy/RetryBudget.java
+++ b/core/src/main/java/org/verbenatally/policy/RetryBudget.java
@@ -3,49 +3,50 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Allows retries as a share of successes: each success adds a fraction of a token, each retry takes a whole one. The
- * balance never falls below zero and never exceeds the bound. Safe for use by several threads.
+ * Allows retries as a share of successes: each success deposits a fraction of a retry, and each retry withdraws a
+ * complete one. The balance never falls below zero and never exceeds its maximum. Safe for use by several threads.
  */
 public final class RetryBudget {
-    private static final long UNITS = 1000;
+    private static final long UNITS_PER_RETRY = 1000;
 
-    private final AtomicLong balance;
-    private final long share;
-    private final long bound;
+    private final AtomicLong balanceUnits;
+    private final long depositUnits;
+    private final long maxUnits;
 
     /**
      * Creates a full budget.
      *
      * @param sharePerSuccess retries allowed for each success, 0 to 1
-     * @param bound most retries that can be saved up; also the initial balance
-     * @throws IllegalArgumentException if the share is not in 0 to 1 or the bound is not positive
+     * @param maxRetries most retries that can be saved up; also the initial balance
+     * @throws IllegalArgumentException if the share is not between 0 and 1 or the maximum is not positive
      */
-    public RetryBudget(double sharePerSuccess, int bound) {
-        if (!(sharePerSuccess >= 0 && sharePerSuccess <= 1) || bound < 1) {
-            throw new IllegalArgumentException("share must be 0 to 1 and bound positive");
+    public RetryBudget(double sharePerSuccess, int maxRetries) {
+        if (!(sharePerSuccess >= 0 && sharePerSuccess <= 1) || maxRetries < 1) {
+            throw new IllegalArgumentException("sharePerSuccess must be between 0 and 1 and maxRetries positive");
         }
-        this.share = Math.round(sharePerSuccess * UNITS);
-        this.bound = bound * UNITS;
-        this.balance = new AtomicLong(this.bound);
+        this.depositUnits = Math.round(sharePerSuccess * UNITS_PER_RETRY);
+        this.maxUnits = maxRetries * UNITS_PER_RETRY;
+        this.balanceUnits = new AtomicLong(this.maxUnits);
     }
 
-    /** Adds the share of one success. */
-    public void success() {
-        balance.accumulateAndGet(share, (old, add) -> Math.min(bound, old + add));
+    /** Deposits the share of one success. */
+    public void deposit() {
+        balanceUnits.accumulateAndGet(depositUnits, (current, add) -> Math.min(maxUnits, current + add));
     }
 
-    /** Takes one retry if the balance allows it. */
-    public boolean tryRetry() {
-        return balance.getAndUpdate(old -> old >= UNITS ? old - UNITS : old) >= UNITS;
+    /** Withdraws one retry if the balance allows it; returns whether it did. */
+    public boolean tryWithdraw() {
+        return balanceUnits.getAndUpdate(current -> current >= UNITS_PER_RETRY ? current - UNITS_PER_RETRY : current)
+                >= UNITS_PER_RETRY;
     }
 
-    /** Returns one retry that was taken but not used. */
-    public void giveBack() {
-        balance.accumulateAndGet(UNITS, (old, add) -> Math.min(bound, old + add));
+    /** Returns one retry to the budget that was withdrawn but not used. */
+    public void refund() {
+        balanceUnits.accumulateAndGet(UNITS_PER_RETRY, (current, add) -> Math.min(maxUnits, current + add));
     }
 
-    /** Returns the whole retries that the balance allows. */
+    /** Returns the number of complete retries that the balance allows. */
     public long available() {
-        return balance.get() / UNITS;
+        return balanceUnits.get() / UNITS_PER_RETRY;
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/RetryInput.java
+++ b/core/src/main/java/org/verbenatally/policy/RetryInput.java
@@ -11,14 +11,14 @@
  * Input of a retry decision.
  *
  * @param kind the kind of work
- * @param organisation whose work it is
+ * @param organisation the organisation that the work belongs to
  * @param target the target of the failed attempt
  * @param end how the attempt ended
- * @param attempts attempts made so far, the failed one included
- * @param byteMayHaveLeft whether a byte of the request may have reached a target
- * @param delivered whether a token or byte of the answer was delivered to the caller
+ * @param attempts attempts made so far, including the failed one
+ * @param mayHaveReachedTarget whether a byte of the request may have reached a target
+ * @param delivered whether a token or byte of the response was delivered to the caller
  * @param suspect whether the request is suspected of crashing targets
- * @param timeLeft time until the request's deadline
+ * @param remainingTime time until the request's deadline
  */
 public record RetryInput(
         Kind kind,
@@ -26,13 +26,13 @@
         TargetId target,
         FlightEnd end,
         int attempts,
-        boolean byteMayHaveLeft,
+        boolean mayHaveReachedTarget,
         boolean delivered,
         boolean suspect,
-        Duration timeLeft) {
+        Duration remainingTime) {
 
     /**
-     * Checks the parts.
+     * Checks the components.
      *
      * @throws IllegalArgumentException if no attempt was made
      */
--- a/core/src/main/java/org/verbenatally/policy/RetryPolicy.java
+++ b/core/src/main/java/org/verbenatally/policy/RetryPolicy.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-/** Decides whether a failed attempt is followed by another one. */
+/** Decides whether a failed attempt is retried. */
 @FunctionalInterface
 public interface RetryPolicy {
 
--- a/core/src/main/java/org/verbenatally/policy/Router.java
+++ b/core/src/main/java/org/verbenatally/policy/Router.java
@@ -17,103 +17,112 @@
 import org.verbenatally.core.TargetId;
 import org.verbenatally.time.TimerService;
 
-/** Collects the candidates for a request, asks the routing policy, and keeps suspects apart. */
+/** Collects the candidate targets for a request, applies the routing policy, and keeps suspects on separate targets. */
 final class Router {
-    private static final double TYPICAL_TOKENS = 256;
-    /** A prefix is only a part of its prompt, and its length is not known here. */
-    private static final int PREFIX_PART = 2;
+    private static final double DEFAULT_TYPICAL_TOKENS = 256;
+    /**
+     * Assumed ratio of the prompt to its cached prefix: a prefix is only a part of its prompt, and its length is not
+     * known here.
+     */
+    private static final int PREFIX_DIVISOR = 2;
 
     private final TimerService timer;
     private final TargetTable targets;
     private final SuspectTable suspects;
     private final PolicySuite policies;
-    private final LengthModel lengths;
+    private final LengthModel lengthModel;
     private final FailureDomain failureDomain;
     private final PrefixTable prefixes = new PrefixTable();
-    private volatile FlightView view = FlightView.initial(TYPICAL_TOKENS, 1);
-    private volatile int entries = 1;
+    private volatile InFlightSummary summary = InFlightSummary.initial(DEFAULT_TYPICAL_TOKENS, 1);
+    private volatile int entryCount = 1;
 
     Router(
             TimerService timer,
             TargetTable targets,
             SuspectTable suspects,
             PolicySuite policies,
-            LengthModel lengths,
+            LengthModel lengthModel,
             FailureDomain failureDomain) {
         this.timer = timer;
         this.targets = targets;
         this.suspects = suspects;
         this.policies = policies;
-        this.lengths = lengths;
+        this.lengthModel = lengthModel;
         this.failureDomain = failureDomain;
     }
 
     void configure(Deployment deployment) {
-        entries = deployment.entryCount();
+        entryCount = deployment.entryCount();
         double typical = deployment.kinds().values().stream()
                 .filter(k -> k.runsOn() == TargetType.ENGINE)
                 .mapToInt(Kind::typicalTokens)
                 .average()
-                .orElse(TYPICAL_TOKENS);
-        view = FlightView.initial(typical, entries);
+                .orElse(DEFAULT_TYPICAL_TOKENS);
+        summary = InFlightSummary.initial(typical, entryCount);
     }
 
-    /** Summarises this entry's flights for the estimates of what others run. */
-    void renewView() {
-        List<RunningFlight> flights = new ArrayList<>();
+    /**
+     * Summarises the requests that this entry has in flight; estimates of the requests of its peers are based on the
+     * summary.
+     */
+    void refreshSummary() {
+        List<DispatchedRequest> inFlight = new ArrayList<>();
         for (TargetState state : targets.states()) {
             if (state.target().type() == TargetType.ENGINE && state.ownRequests() > 0) {
-                flights.addAll(state.flights());
+                inFlight.addAll(state.inFlight());
             }
         }
-        view = view.renewed(flights, entries);
+        summary = summary.updated(inFlight, entryCount);
     }
 
-    /** Remembers where a request went. */
-    void started(WorkRequest request, TargetState state) {
-        prefixes.ran(request.prefixHash(), state.target().id());
+    /** Records the target of a request for its prompt prefix. */
+    void onDispatched(WorkRequest request, TargetState state) {
+        prefixes.recordTarget(request.prefixHash(), state.target().id());
     }
 
-    /** Returns the target for a request; a suspect has it reserved. Empty if the request should wait. */
+    /**
+     * Returns the target for a request, or empty if the request should wait. The target is reserved if the request is a
+     * suspect.
+     */
     Optional<TargetState> choose(WorkRequest request) {
         long now = timer.nanos();
         boolean suspect = suspects.check(request.fingerprint()) == SuspectTable.Verdict.ISOLATE;
-        Predicate<TargetState> filter = state -> state.mayRun(request.kind())
-                && !state.refusing(now)
-                && !request.exclude().contains(state.target().id())
+        Predicate<TargetState> filter = state -> state.isEligibleFor(request.kind())
+                && !state.isInBackoff(now)
+                && !request.excludedTargets().contains(state.target().id())
                 && !(suspect && suspects.runsSuspect(state.target().id()));
         UniformRandomProvider random = ThreadLocalRandomSource.current(RandomSource.XO_RO_SHI_RO_128_PP);
         TargetState preferred =
-                prefixes.target(request.prefixHash()).map(targets::state).orElse(null);
-        List<TargetState> sample =
-                CandidateSampler.sample(targets.configured(request.kind()), filter, preferred, random);
-        if (sample.isEmpty()) {
+                prefixes.lastTarget(request.prefixHash()).map(targets::state).orElse(null);
+        List<TargetState> sampled =
+                CandidateSampler.sample(targets.configuredFor(request.kind()), filter, preferred, random);
+        if (sampled.isEmpty()) {
             return Optional.empty();
         }
         Map<TargetId, TargetState> states = new HashMap<>();
-        List<TargetSnapshot> candidates = new ArrayList<>(sample.size());
-        for (TargetState state : sample) {
-            int prefix = state == preferred ? request.promptTokens() / PREFIX_PART : 0;
-            TargetSnapshot snapshot = state.snapshot(now, view, prefix, policies.adaptive());
+        List<TargetSnapshot> candidates = new ArrayList<>(sampled.size());
+        for (TargetState state : sampled) {
+            int prefixTokens = state == preferred ? request.promptTokens() / PREFIX_DIVISOR : 0;
+            TargetSnapshot snapshot = state.snapshot(now, summary, prefixTokens, policies.adaptive());
             states.put(snapshot.target(), state);
             candidates.add(snapshot);
         }
         Optional<TargetState> choice =
-                policies.routing().choose(input(request, candidates)).map(states::get);
-        // A peer or another thread may have taken the target for a suspect in the meantime.
+                policies.routing().choose(routingInput(request, candidates)).map(states::get);
+        // A peer or another thread may have reserved the target for another suspect in the meantime.
         return suspect
                 ? choice.filter(
                         s -> suspects.reserve(request.fingerprint(), s.target().id()))
                 : choice;
     }
 
-    private RoutingInput input(WorkRequest request, List<TargetSnapshot> candidates) {
+    private RoutingInput routingInput(WorkRequest request, List<TargetSnapshot> candidates) {
         return new RoutingInput(
                 request.kind(),
                 request.organisation().id(),
                 request.promptTokens(),
                 request.kind().runsOn() == TargetType.ENGINE
-                        ? lengths.expectedRemaining(
+                        ? lengthModel.expectedRemaining(
                                 request.kind(), request.organisation().id(), 0)
                         : 0,
                 failureDomain,
--- a/core/src/main/java/org/verbenatally/policy/RoutingInput.java
+++ b/core/src/main/java/org/verbenatally/policy/RoutingInput.java
@@ -10,11 +10,11 @@
  * Input of a routing decision.
  *
  * @param kind the kind of work
- * @param organisation whose work it is
+ * @param organisation the organisation that the work belongs to
  * @param promptTokens estimated length of the prompt, in tokens
  * @param expectedTokens expected length of the output, in tokens
- * @param failureDomain where this entry runs
- * @param candidates targets that may run the work: not leaving, the model loaded
+ * @param failureDomain the failure domain in which this entry runs
+ * @param candidates targets that may run the work: they are not leaving and have the model loaded
  */
 public record RoutingInput(
         Kind kind,
--- a/core/src/main/java/org/verbenatally/policy/SuspectTable.java
+++ b/core/src/main/java/org/verbenatally/policy/SuspectTable.java
@@ -17,16 +17,16 @@
 import org.verbenatally.wire.Suspect;
 
 /**
- * Requests that were running when a target died. After two crashes in isolation, or three in all, a request is in
- * quarantine. Holds at most 4,096 rows of 15 minutes each. Safe for use by several threads.
+ * Requests that were running when a target crashed. A request is quarantined after two crashes in isolation or three
+ * crashes in all. Holds at most 4,096 records, each for 15 minutes. Safe for use by several threads.
  */
 public final class SuspectTable {
-    private static final int MAX_ROWS = 4096;
-    private static final long LIFE_MS = TimeUnit.MINUTES.toMillis(15);
-    private static final int ISOLATED_TO_QUARANTINE = 2;
-    private static final int CRASHES_TO_QUARANTINE = 3;
+    private static final int MAX_RECORDS = 4096;
+    private static final long LIFETIME_MS = TimeUnit.MINUTES.toMillis(15);
+    private static final int QUARANTINE_ISOLATED_CRASHES = 2;
+    private static final int QUARANTINE_CRASHES = 3;
 
-    /** What is to be done with a request. */
+    /** How a request must be treated. */
     public enum Verdict {
         /** It is not suspected. */
         CLEAR,
@@ -36,10 +36,10 @@
         QUARANTINED
     }
 
-    private static final class Row {
+    private static final class CrashRecord {
         int crashes;
         int isolated;
-        /** Crashes known when the request last finished; gossip with no more than these is out of date. */
+        /** Crashes known when the request last completed; gossip with no more crashes than these is out of date. */
         int crashesCleared;
 
         long expiresNanos;
@@ -49,15 +49,15 @@
             if (crashes <= crashesCleared) {
                 return Verdict.CLEAR;
             }
-            return isolated >= ISOLATED_TO_QUARANTINE || crashes - crashesCleared >= CRASHES_TO_QUARANTINE
+            return isolated >= QUARANTINE_ISOLATED_CRASHES || crashes - crashesCleared >= QUARANTINE_CRASHES
                     ? Verdict.QUARANTINED
                     : Verdict.ISOLATE;
         }
     }
 
     private final TimerService timer;
-    private final Map<Fingerprint, Row> rows = new LinkedHashMap<>();
-    private final Map<InstanceId, Map<TargetId, Fingerprint>> atPeers = new HashMap<>();
+    private final Map<Fingerprint, CrashRecord> records = new LinkedHashMap<>();
+    private final Map<InstanceId, Map<TargetId, Fingerprint>> runningAtPeers = new HashMap<>();
 
     /** Creates an empty table on the given clock. */
     public SuspectTable(TimerService timer) {
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Counts a crash of a target against every request that ran there. Call it once for each crash, with all requests
-     * of this entry.
+     * Counts a crash of a target against every request that was running there. Must be called once per crash, with all
+     * requests of this entry.
      */
     public void crashed(TargetId target, Collection<Fingerprint> running) {
         crashed(target, running, running.size() == 1);
@@ -75,143 +75,144 @@
     /**
      * Counts a crash of a target.
      *
-     * @param target the target that died
-     * @param running requests of this entry that ran there
-     * @param alone whether the only request on the target was the given one; requests of peers count
+     * @param target the target that crashed
+     * @param running requests of this entry that were running there
+     * @param alone whether the given request was the only one on the target, requests of peers included
      */
     public synchronized void crashed(TargetId target, Collection<Fingerprint> running, boolean alone) {
         Objects.requireNonNull(target, "target");
         Set<Fingerprint> distinct = Set.copyOf(running);
-        long suspectsThere = distinct.stream().filter(this::isSuspect).count();
-        boolean peerSuspectThere = atPeers.values().stream().anyMatch(map -> map.containsKey(target));
+        long suspectCount = distinct.stream().filter(this::isSuspect).count();
+        boolean peerRunsSuspect = runningAtPeers.values().stream().anyMatch(map -> map.containsKey(target));
         for (Fingerprint fingerprint : distinct) {
-            Row known = rows.get(fingerprint);
-            boolean isolated = !isSuspect(fingerprint) ? alone : suspectsThere == 1 && !peerSuspectThere;
-            Row row = known == null ? new Row() : known;
-            row.crashes++;
-            row.isolated += isolated ? 1 : 0;
-            row.runningOn = null;
-            row.expiresNanos = timer.nanos() + TimeUnit.MILLISECONDS.toNanos(LIFE_MS);
-            rows.putIfAbsent(fingerprint, row);
+            CrashRecord known = records.get(fingerprint);
+            boolean isolated = !isSuspect(fingerprint) ? alone : suspectCount == 1 && !peerRunsSuspect;
+            CrashRecord crashRecord = known == null ? new CrashRecord() : known;
+            crashRecord.crashes++;
+            crashRecord.isolated += isolated ? 1 : 0;
+            crashRecord.runningOn = null;
+            crashRecord.expiresNanos = timer.nanos() + TimeUnit.MILLISECONDS.toNanos(LIFETIME_MS);
+            records.putIfAbsent(fingerprint, crashRecord);
         }
-        trim();
+        evict();
     }
 
     private boolean isSuspect(Fingerprint fingerprint) {
-        Row row = rows.get(fingerprint);
-        return row != null && row.verdict() != Verdict.CLEAR;
+        CrashRecord crashRecord = records.get(fingerprint);
+        return crashRecord != null && crashRecord.verdict() != Verdict.CLEAR;
     }
 
-    /** Returns what is to be done with a request. */
+    /** Returns how a request must be treated. */
     public synchronized Verdict check(Fingerprint fingerprint) {
-        Row row = rows.get(fingerprint);
-        if (row == null) {
+        CrashRecord crashRecord = records.get(fingerprint);
+        if (crashRecord == null) {
             return Verdict.CLEAR;
         }
-        if (row.expiresNanos - timer.nanos() <= 0) {
-            rows.remove(fingerprint);
+        if (crashRecord.expiresNanos - timer.nanos() <= 0) {
+            records.remove(fingerprint);
             return Verdict.CLEAR;
         }
-        return row.verdict();
+        return crashRecord.verdict();
     }
 
-    /** Forgets a request that finished, unless it is in quarantine already. */
+    /** Clears a request that completed, unless it is already quarantined. */
     public synchronized void cleared(Fingerprint fingerprint) {
-        Row row = rows.get(fingerprint);
-        if (row != null && row.verdict() == Verdict.ISOLATE) {
-            row.crashesCleared = row.crashes;
-            row.isolated = 0;
-            row.runningOn = null;
+        CrashRecord crashRecord = records.get(fingerprint);
+        if (crashRecord != null && crashRecord.verdict() == Verdict.ISOLATE) {
+            crashRecord.crashesCleared = crashRecord.crashes;
+            crashRecord.isolated = 0;
+            crashRecord.runningOn = null;
         }
     }
 
-    /** Returns all rows for the peers. */
+    /** Returns the records of all current suspects, for the peers. */
     public synchronized List<Suspect> suspects() {
-        trim();
-        List<Suspect> result = new ArrayList<>(rows.size());
+        evict();
+        List<Suspect> result = new ArrayList<>(records.size());
         long now = timer.nanos();
-        rows.forEach((fingerprint, row) -> {
-            if (row.verdict() == Verdict.CLEAR) {
+        records.forEach((fingerprint, crashRecord) -> {
+            if (crashRecord.verdict() == Verdict.CLEAR) {
                 return;
             }
-            int expiresIn = (int) TimeUnit.NANOSECONDS.toMillis(row.expiresNanos - now);
-            Suspect suspect = new Suspect(fingerprint.high(), fingerprint.low(), row.crashes, row.isolated, expiresIn);
-            Optional.ofNullable(row.runningOn).ifPresent(target -> suspect.setRunningOn(target.value()));
+            int expiresInMs = (int) TimeUnit.NANOSECONDS.toMillis(crashRecord.expiresNanos - now);
+            Suspect suspect = new Suspect(
+                    fingerprint.high(), fingerprint.low(), crashRecord.crashes, crashRecord.isolated, expiresInMs);
+            Optional.ofNullable(crashRecord.runningOn).ifPresent(target -> suspect.setRunningOn(target.value()));
             result.add(suspect);
         });
         return result;
     }
 
-    /** Takes the rows of a peer; the larger counts win. Rows that make no sense are ignored. */
+    /** Merges the records of a peer; the larger counts win. Invalid records are ignored. */
     public synchronized void merge(InstanceId from, List<Suspect> suspects) {
         Map<TargetId, Fingerprint> running = new HashMap<>();
         long now = timer.nanos();
         for (Suspect suspect : suspects) {
-            long left = Math.min(LIFE_MS, suspect.getExpiresInMs());
+            long remainingMs = Math.min(LIFETIME_MS, suspect.getExpiresInMs());
             int crashes = suspect.getCrashes();
             int isolated = suspect.getIsolatedCrashes();
-            if (left <= 0 || crashes < 1 || isolated < 0 || isolated > crashes) {
+            if (remainingMs <= 0 || crashes < 1 || isolated < 0 || isolated > crashes) {
                 continue;
             }
             Fingerprint fingerprint = new Fingerprint(suspect.getFingerprintHigh(), suspect.getFingerprintLow());
-            Row row = rows.computeIfAbsent(fingerprint, key -> new Row());
-            if (crashes <= row.crashesCleared) {
+            CrashRecord crashRecord = records.computeIfAbsent(fingerprint, key -> new CrashRecord());
+            if (crashes <= crashRecord.crashesCleared) {
                 continue;
             }
-            if (crashes > row.crashes || isolated > row.isolated) {
-                row.expiresNanos = now + TimeUnit.MILLISECONDS.toNanos(left);
+            if (crashes > crashRecord.crashes || isolated > crashRecord.isolated) {
+                crashRecord.expiresNanos = now + TimeUnit.MILLISECONDS.toNanos(remainingMs);
             }
-            row.crashes = Math.max(row.crashes, crashes);
-            row.isolated = Math.max(row.isolated, isolated);
+            crashRecord.crashes = Math.max(crashRecord.crashes, crashes);
+            crashRecord.isolated = Math.max(crashRecord.isolated, isolated);
             if (suspect.isSetRunningOn()) {
                 running.put(new TargetId(suspect.getRunningOn()), fingerprint);
             }
         }
-        atPeers.put(from, running);
-        trim();
+        runningAtPeers.put(from, running);
+        evict();
     }
 
-    /** Forgets what a peer runs, after it has gone. */
+    /** Discards what a peer runs, after the peer is gone. */
     public synchronized void forgetPeer(InstanceId peer) {
-        atPeers.remove(peer);
+        runningAtPeers.remove(peer);
     }
 
     /**
      * Reserves a target for a suspect, if no other suspect runs there.
      *
-     * @return whether the suspect may run there
+     * @return whether the request may run there
      */
     synchronized boolean reserve(Fingerprint fingerprint, TargetId target) {
-        Row row = rows.get(fingerprint);
-        if (row == null || row.verdict() == Verdict.CLEAR) {
+        CrashRecord crashRecord = records.get(fingerprint);
+        if (crashRecord == null || crashRecord.verdict() == Verdict.CLEAR) {
             return true;
         }
-        boolean taken = row.runningOn != null || runsSuspect(target);
-        if (!taken) {
-            row.runningOn = target;
+        boolean occupied = crashRecord.runningOn != null || runsSuspect(target);
+        if (!occupied) {
+            crashRecord.runningOn = target;
         }
-        return !taken;
+        return !occupied;
     }
 
-    /** Tells whether a suspect runs on a target, here or at a peer. */
+    /** Returns whether a suspect runs on a target, here or at a peer. */
     synchronized boolean runsSuspect(TargetId target) {
-        return rows.values().stream().anyMatch(row -> target.equals(row.runningOn))
-                || atPeers.values().stream().anyMatch(map -> map.containsKey(target));
+        return records.values().stream().anyMatch(crashRecord -> target.equals(crashRecord.runningOn))
+                || runningAtPeers.values().stream().anyMatch(map -> map.containsKey(target));
     }
 
-    /** Ends the reservation of a suspect. */
+    /** Releases the reservation of a suspect. */
     synchronized void release(Fingerprint fingerprint, TargetId target) {
-        Row row = rows.get(fingerprint);
-        if (row != null && target.equals(row.runningOn)) {
-            row.runningOn = null;
+        CrashRecord crashRecord = records.get(fingerprint);
+        if (crashRecord != null && target.equals(crashRecord.runningOn)) {
+            crashRecord.runningOn = null;
         }
     }
 
-    private void trim() {
+    private void evict() {
         long now = timer.nanos();
-        rows.values().removeIf(row -> row.expiresNanos - now <= 0);
-        var oldest = rows.keySet().iterator();
-        while (rows.size() > MAX_ROWS && oldest.hasNext()) {
+        records.values().removeIf(crashRecord -> crashRecord.expiresNanos - now <= 0);
+        var oldest = records.keySet().iterator();
+        while (records.size() > MAX_RECORDS && oldest.hasNext()) {
             oldest.next();
             oldest.remove();
         }
--- a/core/src/main/java/org/verbenatally/policy/TargetState.java
+++ b/core/src/main/java/org/verbenatally/policy/TargetState.java
@@ -12,91 +12,101 @@
 import org.verbenatally.config.Target;
 import org.verbenatally.core.Incarnation;
 import org.verbenatally.core.ModelName;
-import org.verbenatally.policy.TargetSnapshot.Claim;
 import org.verbenatally.policy.TargetSnapshot.Estimate;
 import org.verbenatally.policy.TargetSnapshot.LoadReport;
+import org.verbenatally.policy.TargetSnapshot.SlotQuota;
 
-/** What this entry knows of one target. Safe for use by several threads. */
+/** What this entry knows about one target. Safe for use by several threads. */
 final class TargetState {
-    /** Age from which a report is no longer used; the target is then judged by what this entry and peers sent. */
-    private static final long STALE_NANOS = TimeUnit.SECONDS.toNanos(10);
     /**
-     * Share of the reported requests from which own and peers' requests are taken alone. Gossip then covers nearly all
-     * entries and is fresher than a report.
+     * Age, in nanoseconds, from which a report is no longer used; the load is then estimated from what this entry and
+     * its peers have in flight.
      */
-    private static final double WELL_KNOWN = 0.75;
-    /** Time for which a forecast is reused. Growth within it is a few tokens a request. */
-    private static final long FORECAST_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    /** Time after which peers have heard of a request sent here: one gossip period. */
-    private static final long CLAIM_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long MAX_REPORT_AGE_NANOS = TimeUnit.SECONDS.toNanos(10);
+    /**
+     * Share of the reported requests above which the requests known from this entry and its peers would suffice without
+     * the report: gossip then covers nearly all entries and is fresher than a report. Currently unused.
+     */
+    private static final double SUFFICIENT_KNOWN_SHARE = 0.75;
+    /** Time, in nanoseconds, for which a forecast is reused. Within it, each request grows by only a few tokens. */
+    private static final long FORECAST_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    /**
+     * Length of a quota interval, in nanoseconds: one gossip period, after which peers have received the requests sent
+     * from here.
+     */
+    private static final long QUOTA_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-    /** Time for which a target that refused work gets none: long enough for a place to become free. */
-    private static final long REFUSED_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    /**
+     * Time, in nanoseconds, for which a target gets no new work after it refused some: long enough for a slot to become
+     * free.
+     */
+    private static final long REFUSAL_BACKOFF_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
-    /** First and longest time for which a target that cannot be reached gets no work. */
-    private static final long FIRST_AWAY_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Initial and longest time, in nanoseconds, for which an unreachable target gets no new work. */
+    private static final long INITIAL_UNREACHABLE_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    private static final long LONGEST_AWAY_NANOS = TimeUnit.SECONDS.toNanos(5);
+    private static final long MAX_UNREACHABLE_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-    private final Set<RunningFlight> flights = new LinkedHashSet<>();
-    private final LoadTrace trace = new LoadTrace();
+    private final Set<DispatchedRequest> inFlight = new LinkedHashSet<>();
+    private final LoadTrace loadTrace = new LoadTrace();
     private KvForecast forecast = new KvForecast();
-    private final ConcurrencyLimit limit;
+    private final ConcurrencyLimit concurrencyLimit;
 
     private volatile Target target;
-    private volatile Received received;
-    /** The target itself said that it is leaving, in a report or a refusal. */
-    private volatile boolean leaving;
-    /** The platform's list or a peer says that it is leaving. */
-    private volatile boolean leavingElsewhere;
-
-    private volatile long avoidUntilNanos;
-    private volatile boolean avoided;
-    private int unreachable;
-    private Optional<Incarnation> leavingRun = Optional.empty();
+    private volatile ReceivedReport lastReport;
+    /** Whether the target itself reported that it is leaving, in a load report or a refusal. */
+    private volatile boolean leavingReported;
+    /** Whether the platform's published list or a peer reports the target as leaving. */
+    private volatile boolean leavingReportedByOthers;
+
+    private volatile long backoffUntilNanos;
+    private volatile boolean inBackoff;
+    private int unreachableCount;
+    private Optional<Incarnation> leavingIncarnation = Optional.empty();
     private int ownRequests;
     private long ownTokens;
-    private long sent;
+    private long sentCount;
     private int peerRequests;
     private long peerTokens;
-    private long forecastNanos;
+    private long forecastComputedNanos;
     private boolean forecastValid;
-    private double growth;
-    private long claimInterval = Long.MIN_VALUE;
-    private int claimed;
-    private double claimDraw;
+    private double expectedOwnGrowth;
+    private long quotaInterval = Long.MIN_VALUE;
+    private int slotsTaken;
+    private double quotaSample;
 
-    /** A report with the time it was made on this entry's clock and what was in flight then. */
-    private record Received(ReportedLoad load, long madeNanos, LoadTrace.Point then, long sentThen) {}
+    /** A report with its creation time on this entry's clock and with the load that was in flight then. */
+    private record ReceivedReport(
+            ReportedLoad load, long createdNanos, LoadTrace.Sample loadAtCreation, long sentAtCreation) {}
 
     TargetState(Target target, long gapTargetNanos) {
         this.target = target;
-        this.limit = new ConcurrencyLimit(target.maxConcurrent(), gapTargetNanos);
+        this.concurrencyLimit = new ConcurrencyLimit(target.maxConcurrent(), gapTargetNanos);
     }
 
     Target target() {
         return target;
     }
 
-    void target(Target changed) {
-        target = changed;
+    void updateTarget(Target updated) {
+        target = updated;
     }
 
-    /** Tells whether the target may get new work of a kind: it is not leaving and has the model loaded. */
-    boolean mayRun(Kind kind) {
-        Target present = target;
-        if (leaving() || present.leaving() || present.type() != kind.runsOn()) {
+    /** Returns whether the target may get new work of a kind: it is not leaving and has the model loaded. */
+    boolean isEligibleFor(Kind kind) {
+        Target current = target;
+        if (isLeaving() || current.leaving() || current.type() != kind.runsOn()) {
             return false;
         }
-        return kind.model().isEmpty() || hasModel(kind.model().get(), present);
+        return kind.model().isEmpty() || hasModel(kind.model().get(), current);
     }
 
-    private boolean hasModel(ModelName model, Target present) {
-        Received last = received;
+    private boolean hasModel(ModelName model, Target current) {
+        ReceivedReport last = lastReport;
         if (last != null && !last.load().models().isEmpty()) {
             return last.load().models().contains(model);
         }
-        return present.models().stream().anyMatch(m -> m.model().equals(model));
+        return current.models().stream().anyMatch(m -> m.model().equals(model));
     }
 
     synchronized int ownRequests() {
@@ -107,96 +117,106 @@
         return ownTokens;
     }
 
-    /** Returns the requests known from own flights and peers, without a look at reports. Cheap enough for a scan. */
+    /**
+     * Returns the requests in flight from this entry and its peers, without using load reports. Cheap enough to call
+     * for every target.
+     */
     synchronized int knownRequests() {
         return ownRequests + peerRequests;
     }
 
-    boolean leaving() {
-        return leaving || leavingElsewhere;
+    boolean isLeaving() {
+        return leavingReported || leavingReportedByOthers;
     }
 
-    /** Tells whether the target itself said so. */
-    boolean saidLeaving() {
-        return leaving;
+    /** Returns whether the target itself reported that it is leaving. */
+    boolean hasReportedLeaving() {
+        return leavingReported;
     }
 
-    void leavingElsewhere(boolean said) {
-        leavingElsewhere = said;
+    void setLeavingReportedByOthers(boolean reported) {
+        leavingReportedByOthers = reported;
     }
 
     synchronized void markLeaving() {
-        if (!leaving) {
-            leavingRun = Optional.ofNullable(received).map(r -> r.load().incarnation());
-            leaving = true;
+        if (!leavingReported) {
+            leavingIncarnation =
+                    Optional.ofNullable(lastReport).map(r -> r.load().incarnation());
+            leavingReported = true;
         }
     }
 
-    /** Takes a checked report that was made at the given time of this entry's clock. */
-    synchronized void report(ReportedLoad load, long madeNanos) {
-        Received last = received;
+    /** Records a checked report that was created at the given time of this entry's clock. */
+    synchronized void report(ReportedLoad load, long createdNanos) {
+        ReceivedReport last = lastReport;
         boolean sameRun = last != null && last.load().incarnation().equals(load.incarnation());
         if (sameRun && load.atMs() <= last.load().atMs()) {
             return;
         }
-        received = new Received(load, madeNanos, trace.at(madeNanos), sentAt(madeNanos));
-        if (unreachable > 0) {
-            unreachable = 0;
-            avoided = false;
+        lastReport = new ReceivedReport(load, createdNanos, loadTrace.at(createdNanos), sentUntil(createdNanos));
+        if (unreachableCount > 0) {
+            unreachableCount = 0;
+            inBackoff = false;
         }
         forecastValid = false;
         if (sameRun) {
-            limit.preemptions(load.preemptions() - last.load().preemptions());
+            concurrencyLimit.recordPreemptions(load.preemptions() - last.load().preemptions());
         }
-        limit.observed(load);
+        concurrencyLimit.recordReport(load);
         if (load.leaving()) {
             markLeaving();
-        } else if (leaving && !leavingRun.equals(Optional.of(load.incarnation()))) {
-            leaving = false;
+        } else if (leavingReported && !leavingIncarnation.equals(Optional.of(load.incarnation()))) {
+            leavingReported = false;
         }
     }
 
-    private long sentAt(long nanos) {
-        long later = flights.stream().filter(f -> f.startNanos() - nanos > 0).count();
-        return sent - later;
+    private long sentUntil(long nanos) {
+        long later = inFlight.stream().filter(f -> f.startNanos() - nanos > 0).count();
+        return sentCount - later;
     }
 
-    synchronized void peers(long now, int requestsChange, long tokensChange) {
+    synchronized void adjustPeerLoad(long now, int requestsChange, long tokensChange) {
         record(now);
         peerRequests = Math.max(0, peerRequests + requestsChange);
         peerTokens = Math.max(0, peerTokens + tokensChange);
         forecastValid = false;
     }
 
-    synchronized void started(RunningFlight flight, long now) {
+    synchronized void add(DispatchedRequest dispatched, long now) {
         record(now);
-        flights.add(flight);
+        inFlight.add(dispatched);
         ownRequests++;
-        ownTokens += flight.heldTokens();
-        sent++;
-        claimed++;
-        forecast.add(flight.heldTokens(), flight.expectedRemaining(), 1);
+        ownTokens += dispatched.heldTokens();
+        sentCount++;
+        slotsTaken++;
+        forecast.add(dispatched.heldTokens(), dispatched.expectedRemaining(), 1);
     }
 
-    /** Removes a flight; returns the flights that ran beside it if it is the first to tell of a crash. */
-    synchronized List<RunningFlight> ended(RunningFlight flight, FlightEnd end, long now) {
+    /**
+     * Removes a request that is no longer in flight. If it is the first to report a crash of the target, returns all
+     * requests that were in flight there, this one included; otherwise returns an empty list.
+     */
+    synchronized List<DispatchedRequest> remove(DispatchedRequest dispatched, FlightEnd end, long now) {
         record(now);
         ownRequests--;
-        ownTokens -= flight.heldTokens();
-        forecast.add(flight.heldTokens(), flight.expectedRemaining(), -1);
-        boolean first = flights.remove(flight);
-        if (end != FlightEnd.CRASHED || !first) {
+        ownTokens -= dispatched.heldTokens();
+        forecast.add(dispatched.heldTokens(), dispatched.expectedRemaining(), -1);
+        boolean removed = inFlight.remove(dispatched);
+        if (end != FlightEnd.CRASHED || !removed) {
             return List.of();
         }
-        List<RunningFlight> there = new ArrayList<>(flights);
-        there.add(flight);
-        // The others report the same crash one by one; it must count once.
-        flights.clear();
-        return there;
+        List<DispatchedRequest> affected = new ArrayList<>(inFlight);
+        affected.add(dispatched);
+        // The other requests report the same crash one by one, but it must be counted only once.
+        inFlight.clear();
+        return affected;
     }
 
-    /** Counts a token of an own flight; {@code gapNanos} is 0 for the first one. */
-    void token(long now, long gapNanos) {
+    /**
+     * Counts a token of a request of this entry; {@code gapNanos} is the time since its previous token in nanoseconds,
+     * 0 for the first token.
+     */
+    void recordToken(long now, long gapNanos) {
         double requests;
         synchronized (this) {
             ownTokens++;
@@ -204,143 +224,148 @@
             requests = estimatedRequests(now);
         }
         if (gapNanos > 0) {
-            limit.gap(gapNanos, now, requests);
+            concurrencyLimit.recordGap(gapNanos, now, requests);
         }
     }
 
     private void record(long now) {
-        trace.add(now, new LoadTrace.Point(ownRequests, ownTokens, peerRequests, peerTokens));
+        loadTrace.add(now, new LoadTrace.Sample(ownRequests, ownTokens, peerRequests, peerTokens));
     }
 
-    private Received fresh(long now) {
-        Received last = received;
-        return last != null && now - last.madeNanos() < STALE_NANOS ? last : null;
+    private ReceivedReport freshReport(long now) {
+        ReceivedReport last = lastReport;
+        return last != null && now - last.createdNanos() < MAX_REPORT_AGE_NANOS ? last : null;
     }
 
     private double estimatedRequests(long now) {
-        Received last = fresh(now);
+        ReceivedReport last = freshReport(now);
         if (last == null) {
             return ownRequests + peerRequests;
         }
         int reported = last.load().running() + last.load().waiting();
         int change = ownRequests
-                - last.then().ownRequests()
+                - last.loadAtCreation().ownRequests()
                 + peerRequests
-                - last.then().peerRequests();
+                - last.loadAtCreation().peerRequests();
         return Math.max(ownRequests, reported + change);
     }
 
     private double estimatedTokens(long now, double meanPrompt) {
-        Received last = fresh(now);
+        ReceivedReport last = freshReport(now);
         if (last == null || last.load().kvCapacityTokens() == 0) {
             return ownTokens + peerTokens;
         }
-        // Requests that wait at the target hold no memory yet, but the change since the report does not bring it.
+        // Requests that wait at the target do not hold memory yet, and the change since the report does not include it.
         double waiting = last.load().waiting() * meanPrompt;
-        long change =
-                ownTokens - last.then().ownTokens() + peerTokens - last.then().peerTokens();
+        long change = ownTokens
+                - last.loadAtCreation().ownTokens()
+                + peerTokens
+                - last.loadAtCreation().peerTokens();
         return Math.max(ownTokens, last.load().kvUsedTokens() + waiting + change);
     }
 
     /**
-     * Describes the target for a decision.
+     * Returns a snapshot of the target for a routing decision.
      *
-     * @param now the monotonic time
-     * @param view what this entry knows of all its flights
-     * @param prefixTokens tokens of the prompt that are believed to be cached there
-     * @param adaptive whether the learned limit applies instead of the configured one
+     * @param now the monotonic time, in nanoseconds
+     * @param summary summary of all requests that this entry has in flight
+     * @param prefixTokens tokens of the prompt that the target is believed to have cached
+     * @param adaptive whether the learned concurrency limit applies instead of the configured one
      */
-    synchronized TargetSnapshot snapshot(long now, FlightView view, int prefixTokens, boolean adaptive) {
-        Received last = fresh(now);
+    synchronized TargetSnapshot snapshot(long now, InFlightSummary summary, int prefixTokens, boolean adaptive) {
+        ReceivedReport last = freshReport(now);
         double requests = estimatedRequests(now);
-        double tokens = estimatedTokens(now, view.meanPrompt());
-        if (!forecastValid || now - forecastNanos > FORECAST_NANOS) {
-            computeForecast(now, view, requests, tokens);
+        double tokens = estimatedTokens(now, summary.meanPrompt());
+        if (!forecastValid || now - forecastComputedNanos > FORECAST_LIFETIME_NANOS) {
+            computeForecast(now, summary, requests, tokens);
         }
         LoadReport report = last == null ? null : loadReport(last, now);
         long capacity = last == null ? 0 : last.load().kvCapacityTokens();
-        Estimate estimate = new Estimate(requests, tokens, forecast, capacity, limit.margin());
+        Estimate estimate = new Estimate(requests, tokens, forecast, capacity, concurrencyLimit.margin());
         int max = target.maxConcurrent();
         return new TargetSnapshot(
                 target.id(),
                 target.failureDomain(),
                 ownRequests,
                 ownTokens,
-                growth,
+                expectedOwnGrowth,
                 peerRequests,
                 peerTokens,
                 Optional.ofNullable(report),
-                last == null ? 0 : (int) (sent - last.sentThen()),
+                last == null ? 0 : (int) (sentCount - last.sentAtCreation()),
                 estimate,
-                adaptive ? limit.limit() : max,
+                adaptive ? concurrencyLimit.limit() : max,
                 max,
                 prefixTokens,
-                claim(now, view));
+                slotQuota(now, summary));
     }
 
-    private static LoadReport loadReport(Received last, long now) {
+    private static LoadReport loadReport(ReceivedReport last, long now) {
         ReportedLoad load = last.load();
-        long age = TimeUnit.NANOSECONDS.toMillis(now - last.madeNanos());
+        long age = TimeUnit.NANOSECONDS.toMillis(now - last.createdNanos());
         return new LoadReport(
                 age, load.running(), load.waiting(), load.kvUsedTokens(), load.kvCapacityTokens(), load.preemptions());
     }
 
-    private void computeForecast(long now, FlightView view, double requests, double tokens) {
-        KvForecast made = new KvForecast();
-        growth = 0;
-        for (RunningFlight flight : flights) {
-            double remaining = flight.expectedRemaining();
-            growth += remaining;
-            made.add(flight.heldTokens(), remaining, 1);
+    private void computeForecast(long now, InFlightSummary summary, double requests, double tokens) {
+        KvForecast computed = new KvForecast();
+        expectedOwnGrowth = 0;
+        for (DispatchedRequest dispatched : inFlight) {
+            double remaining = dispatched.expectedRemaining();
+            expectedOwnGrowth += remaining;
+            computed.add(dispatched.heldTokens(), remaining, 1);
         }
-        double others = requests - flights.size();
-        if (others > 0) {
-            double held = Math.max(0, tokens - ownTokens) / others;
-            double[] remaining = view.remainingQuantiles();
-            Arrays.stream(remaining).forEach(r -> made.add(held, r, others / remaining.length));
+        double otherRequests = requests - inFlight.size();
+        if (otherRequests > 0) {
+            double heldTokens = Math.max(0, tokens - ownTokens) / otherRequests;
+            double[] remaining = summary.remainingQuantiles();
+            Arrays.stream(remaining).forEach(r -> computed.add(heldTokens, r, otherRequests / remaining.length));
         }
-        forecast = made;
-        forecastNanos = now;
+        forecast = computed;
+        forecastComputedNanos = now;
         forecastValid = true;
     }
 
-    private Claim claim(long now, FlightView view) {
-        long interval = now / CLAIM_NANOS;
-        if (interval != claimInterval) {
-            claimInterval = interval;
-            claimed = 0;
-            claimDraw = view.draw();
+    private SlotQuota slotQuota(long now, InFlightSummary summary) {
+        long interval = now / QUOTA_INTERVAL_NANOS;
+        if (interval != quotaInterval) {
+            quotaInterval = interval;
+            slotsTaken = 0;
+            quotaSample = summary.randomSample();
         }
-        return new Claim(view.entries(), claimed, claimDraw);
+        return new SlotQuota(summary.entries(), slotsTaken, quotaSample);
     }
 
-    /** Keeps new work away for a moment after the target refused some. */
-    void refused(long now) {
-        avoid(now + REFUSED_NANOS);
+    /** Starts a short backoff after the target refused work. */
+    void onRefused(long now) {
+        startBackoff(now + REFUSAL_BACKOFF_NANOS);
     }
 
     /**
-     * Keeps new work away from a target that cannot be reached, longer each time until it reports again. Otherwise its
-     * lack of load would attract all requests.
+     * Starts a backoff after the target could not be reached, longer each time until the target reports again. Without
+     * it, the target would attract all requests because it has no load.
      */
-    synchronized void unreachable(long now) {
-        unreachable++;
-        avoid(now + Math.min(LONGEST_AWAY_NANOS, FIRST_AWAY_NANOS << Math.min(10, unreachable - 1)));
+    synchronized void onUnreachable(long now) {
+        unreachableCount++;
+        startBackoff(now
+                + Math.min(
+                        MAX_UNREACHABLE_BACKOFF_NANOS,
+                        INITIAL_UNREACHABLE_BACKOFF_NANOS << Math.min(10, unreachableCount - 1)));
     }
 
-    private void avoid(long untilNanos) {
-        avoidUntilNanos = untilNanos;
-        avoided = true;
+    private void startBackoff(long untilNanos) {
+        backoffUntilNanos = untilNanos;
+        inBackoff = true;
     }
 
-    /** Tells whether the target refused work a moment ago or cannot be reached. */
-    boolean refusing(long now) {
-        return avoided && now - avoidUntilNanos < 0;
+    /** Returns whether the target refused work recently or cannot be reached. */
+    boolean isInBackoff(long now) {
+        return inBackoff && now - backoffUntilNanos < 0;
     }
 
-    /** Returns the flights of this entry. */
-    synchronized List<RunningFlight> flights() {
-        return List.copyOf(flights);
+    /** Returns the requests that this entry has in flight at the target. */
+    synchronized List<DispatchedRequest> inFlight() {
+        return List.copyOf(inFlight);
     }
 
     synchronized int peerRequests() {
--- a/core/src/main/java/org/verbenatally/policy/TargetTable.java
+++ b/core/src/main/java/org/verbenatally/policy/TargetTable.java
@@ -26,41 +26,41 @@
 import org.verbenatally.wire.TargetLoad;
 
 /**
- * What this entry knows of the targets: their reports, its own requests in flight, and what peers have in flight. Safe
- * for use by several threads.
+ * What this entry knows about the targets: their load reports, its own requests in flight, and what its peers have in
+ * flight. Safe for use by several threads.
  */
 public final class TargetTable {
-    /** Age assumed for a report whose time stamp makes no sense. */
+    /** Age, in milliseconds, that is assumed for a report with an implausible timestamp. */
     private static final long ASSUMED_AGE_MS = 1000;
-    /** Reports that claim to be older than this have a wrong clock. */
-    private static final long LARGEST_AGE_MS = 30_000;
-    /** Reports with larger counts make no sense. */
-    private static final int LARGEST_COUNT = 1_000_000;
+    /** Largest plausible age of a report, in milliseconds; if it appears older, its clock is wrong. */
+    private static final long MAX_AGE_MS = 30_000;
+    /** Largest plausible count in a report. */
+    private static final int MAX_COUNT = 1_000_000;
 
-    private static final TargetState[] NONE = {};
+    private static final TargetState[] NO_TARGETS = {};
 
-    /** The targets by what they are configured to run, in the order of their ids. Replaced as a whole. */
+    /** The targets by what they are configured to run, in the order of their ids. The index is replaced as a unit. */
     private record Index(Map<ModelName, TargetState[]> byModel, TargetState[] engines, TargetState[] services) {}
 
     private final TimerService timer;
     private final Map<TargetId, TargetState> states = new ConcurrentHashMap<>();
-    private final Map<InstanceId, Map<TargetId, TargetLoad>> peers = new HashMap<>();
-    private final Map<InstanceId, Set<TargetId>> leavingAtPeers = new HashMap<>();
-    private Set<TargetId> listedLeaving = Set.of();
-    private volatile Index index = new Index(Map.of(), NONE, NONE);
+    private final Map<InstanceId, Map<TargetId, TargetLoad>> loadsByPeer = new HashMap<>();
+    private final Map<InstanceId, Set<TargetId>> leavingByPeer = new HashMap<>();
+    private Set<TargetId> publishedLeaving = Set.of();
+    private volatile Index index = new Index(Map.of(), NO_TARGETS, NO_TARGETS);
 
     /** Creates an empty table on the given clock. */
     public TargetTable(TimerService timer) {
         this.timer = Objects.requireNonNull(timer, "timer");
     }
 
-    /** Takes the targets of a deployment. A target that is no longer listed gets no new work. */
+    /** Applies the targets of a deployment. A target that is no longer configured gets no new work. */
     public synchronized void configure(Deployment deployment) {
-        long gap = TimeUnit.MILLISECONDS.toNanos(deployment.levels().tokenGapMs());
+        long gapTargetNanos = TimeUnit.MILLISECONDS.toNanos(deployment.levels().tokenGapMs());
         states.keySet().retainAll(deployment.targets().keySet());
         for (Target target : deployment.targets().values()) {
-            states.computeIfAbsent(target.id(), id -> new TargetState(target, gap))
-                    .target(target);
+            states.computeIfAbsent(target.id(), id -> new TargetState(target, gapTargetNanos))
+                    .updateTarget(target);
         }
         Map<ModelName, List<TargetState>> byModel = new HashMap<>();
         List<TargetState> engines = new ArrayList<>();
@@ -76,19 +76,19 @@
                             .add(state));
         }
         Map<ModelName, TargetState[]> arrays = new HashMap<>();
-        byModel.forEach((model, list) -> arrays.put(model, list.toArray(NONE)));
-        index = new Index(arrays, engines.toArray(NONE), services.toArray(NONE));
+        byModel.forEach((model, list) -> arrays.put(model, list.toArray(NO_TARGETS)));
+        index = new Index(arrays, engines.toArray(NO_TARGETS), services.toArray(NO_TARGETS));
         updateLeaving();
     }
 
-    /** Takes a load report. A report that makes no sense, is out of order or for an unknown target is ignored. */
+    /** Records a load report. A report is ignored if it is implausible, out of order, or from an unknown target. */
     public void report(TargetId target, ReportedLoad load) {
         TargetState state = states.get(target);
         if (state == null || !isPlausible(load)) {
             return;
         }
         long age = timer.epochMillis() - load.atMs();
-        if (age < 0 || age > LARGEST_AGE_MS) {
+        if (age < 0 || age > MAX_AGE_MS) {
             age = ASSUMED_AGE_MS;
         }
         state.report(load, timer.nanos() - TimeUnit.MILLISECONDS.toNanos(age));
@@ -96,9 +96,9 @@
 
     private static boolean isPlausible(ReportedLoad load) {
         return load.running() >= 0
-                && load.running() <= LARGEST_COUNT
+                && load.running() <= MAX_COUNT
                 && load.waiting() >= 0
-                && load.waiting() <= LARGEST_COUNT
+                && load.waiting() <= MAX_COUNT
                 && load.kvUsedTokens() >= 0
                 && load.kvCapacityTokens() >= 0
                 && load.kvUsedTokens() <= 2 * load.kvCapacityTokens()
@@ -106,7 +106,8 @@
     }
 
     /**
-     * Gives a target that said so itself no new work from now on, until a new run of it reports that it is not leaving.
+     * Marks a target that reported itself as leaving: it gets no new work until a new incarnation of it reports that it
+     * is not leaving.
      */
     public void markLeaving(TargetId target) {
         TargetState state = states.get(target);
@@ -115,36 +116,37 @@
         }
     }
 
-    /** Takes the targets that the platform lists as leaving; replaces what the list said before. */
+    /** Sets the targets that the platform's published list marks as leaving, replacing those of the previous list. */
     public synchronized void listedLeaving(Set<TargetId> listed) {
-        listedLeaving = Set.copyOf(listed);
+        publishedLeaving = Set.copyOf(listed);
         updateLeaving();
     }
 
-    /** Takes the targets that a peer knows to be leaving; replaces what the same peer said before. */
+    /** Sets the targets that a peer knows to be leaving, replacing those that it reported before. */
     public synchronized void peerLeaving(InstanceId peer, Set<TargetId> targets) {
-        leavingAtPeers.put(peer, Set.copyOf(targets));
+        leavingByPeer.put(peer, Set.copyOf(targets));
         updateLeaving();
     }
 
     private void updateLeaving() {
-        Set<TargetId> said = new HashSet<>(listedLeaving);
-        leavingAtPeers.values().forEach(said::addAll);
-        states.forEach((id, state) -> state.leavingElsewhere(said.contains(id)));
+        Set<TargetId> reportedLeaving = new HashSet<>(publishedLeaving);
+        leavingByPeer.values().forEach(reportedLeaving::addAll);
+        states.forEach((id, state) -> state.setLeavingReportedByOthers(reportedLeaving.contains(id)));
     }
 
-    /** Returns the targets that are known to be leaving, from whatever source. */
+    /** Returns the targets that are known to be leaving, from any source. */
     public Set<TargetId> leaving() {
-        return leaving(TargetState::leaving);
+        return leaving(TargetState::isLeaving);
     }
 
     /**
-     * Returns the targets that said themselves that they are leaving or that the platform lists so. Peers are told only
-     * of these: hearsay that is passed on would come back and outlive the restart of the target.
+     * Returns the targets that reported themselves as leaving or that the platform's published list marks as leaving.
+     * Only these are passed on to peers: if second-hand reports were passed on as well, they would come back and
+     * outlive the restart of the target.
      */
     public synchronized Set<TargetId> knownLeaving() {
-        Set<TargetId> known = new HashSet<>(leaving(TargetState::saidLeaving));
-        known.addAll(listedLeaving);
+        Set<TargetId> known = new HashSet<>(leaving(TargetState::hasReportedLeaving));
+        known.addAll(publishedLeaving);
         known.retainAll(states.keySet());
         return known;
     }
@@ -156,46 +158,44 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /**
-     * Takes what a peer has in flight; replaces what the same peer said before. Rows that make no sense are ignored.
-     */
+    /** Sets what a peer has in flight, replacing what it reported before. Implausible records are ignored. */
     public synchronized void peerLoads(InstanceId peer, List<TargetLoad> loads) {
-        Map<TargetId, TargetLoad> before = peers.getOrDefault(peer, Map.of());
+        Map<TargetId, TargetLoad> before = loadsByPeer.getOrDefault(peer, Map.of());
         Map<TargetId, TargetLoad> after = new HashMap<>();
         for (TargetLoad load : loads) {
-            boolean plausible = load.getRequests() >= 0 && load.getRequests() <= LARGEST_COUNT && load.getTokens() >= 0;
+            boolean plausible = load.getRequests() >= 0 && load.getRequests() <= MAX_COUNT && load.getTokens() >= 0;
             TargetId id = plausible ? new TargetId(load.getTarget()) : null;
             if (plausible && states.containsKey(id)) {
                 after.put(id, load);
             }
         }
-        peers.put(peer, after);
+        loadsByPeer.put(peer, after);
         TargetLoad none = new TargetLoad("", 0, 0);
         long now = timer.nanos();
         before.forEach((id, load) -> {
             if (!after.containsKey(id)) {
-                change(id, load, none, now);
+                applyChange(id, load, none, now);
             }
         });
-        after.forEach((id, load) -> change(id, before.getOrDefault(id, none), load, now));
+        after.forEach((id, load) -> applyChange(id, before.getOrDefault(id, none), load, now));
     }
 
-    /** Forgets what a peer said, after it has gone. */
+    /** Discards all reports of a peer that is gone. */
     public synchronized void forgetPeer(InstanceId peer) {
         peerLoads(peer, List.of());
-        peers.remove(peer);
-        leavingAtPeers.remove(peer);
+        loadsByPeer.remove(peer);
+        leavingByPeer.remove(peer);
         updateLeaving();
     }
 
-    private void change(TargetId id, TargetLoad from, TargetLoad to, long now) {
+    private void applyChange(TargetId id, TargetLoad from, TargetLoad to, long now) {
         TargetState state = states.get(id);
         if (state != null) {
-            state.peers(now, to.getRequests() - from.getRequests(), to.getTokens() - from.getTokens());
+            state.adjustPeerLoad(now, to.getRequests() - from.getRequests(), to.getTokens() - from.getTokens());
         }
     }
 
-    /** Returns what this entry has in flight, for the peers. Targets without a request are left out. */
+    /** Returns what this entry has in flight, for its peers. Targets without a request are left out. */
     public List<TargetLoad> ownLoads() {
         return states.entrySet().stream()
                 .filter(e -> e.getValue().ownRequests() > 0)
@@ -215,16 +215,16 @@
     }
 
     /** Returns the targets that are configured to run a kind, in the order of their ids. */
-    TargetState[] configured(Kind kind) {
-        Index present = index;
+    TargetState[] configuredFor(Kind kind) {
+        Index current = index;
         if (kind.runsOn() == TargetType.SERVICE) {
-            return present.services();
+            return current.services();
         }
-        return kind.model().map(m -> present.byModel().get(m)).orElse(present.engines());
+        return kind.model().map(m -> current.byModel().get(m)).orElse(current.engines());
     }
 
-    /** Tells whether any target may run a kind now. Stops at the first. */
-    boolean anyMayRun(Kind kind) {
-        return Arrays.stream(configured(kind)).anyMatch(s -> s.mayRun(kind));
+    /** Returns whether any target may run a kind now. Stops at the first such target. */
+    boolean hasEligibleTarget(Kind kind) {
+        return Arrays.stream(configuredFor(kind)).anyMatch(s -> s.isEligibleFor(kind));
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/UrgencyAdmission.java
+++ b/core/src/main/java/org/verbenatally/policy/UrgencyAdmission.java
@@ -10,52 +10,53 @@
 import org.verbenatally.policy.AdmissionDecision.Refuse;
 
 /**
- * Admits if there is room, queues if the wait is worth it, and refuses at once otherwise. An organisation may fill at
- * most half of the places that are left in the queue, so that a burst of one leaves room for the others.
+ * Admits a request if a target has capacity, queues it if the wait is worthwhile, and otherwise refuses it at once. An
+ * organisation may fill at most half of the free slots of the queue, so that a burst of one organisation leaves slots
+ * for the others.
  */
 final class UrgencyAdmission implements AdmissionPolicy {
-    private static final Duration LEAST_RETRY = Duration.ofMillis(500);
-    private static final Duration LONGEST_RETRY = Duration.ofSeconds(30);
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(500);
+    private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(30);
 
     @Override
     public AdmissionDecision decide(AdmissionInput input) {
-        if (input.openOfOrganisation() >= input.organisation().maxStreams()) {
-            return new Refuse("the organisation has too many open requests", retry(input.expectedWait()));
+        if (input.organisationOpenRequests() >= input.organisation().maxStreams()) {
+            return new Refuse("the organisation has too many open requests", retryAfter(input.expectedWait()));
         }
-        if (input.timeLeft().isZero() || input.timeLeft().isNegative()) {
-            return new Refuse("the deadline has passed", LEAST_RETRY);
+        if (input.remainingTime().isZero() || input.remainingTime().isNegative()) {
+            return new Refuse("the deadline has passed", MIN_RETRY_AFTER);
         }
-        if (input.room()) {
+        if (input.hasCapacity()) {
             return new Admit();
         }
-        if (input.queued() >= input.maxQueued()) {
-            return new Refuse("too many requests wait", retry(input.expectedWait()));
+        if (input.queuedRequests() >= input.maxQueued()) {
+            return new Refuse("too many requests wait", retryAfter(input.expectedWait()));
         }
-        int left = input.maxQueued() - input.queued();
-        if (input.queuedOfOrganisation() > left) {
-            return new Refuse("too many requests of the organisation wait", retry(input.expectedWait()));
+        int freeSlots = input.maxQueued() - input.queuedRequests();
+        if (input.organisationQueuedRequests() > freeSlots) {
+            return new Refuse("too many requests of the organisation wait", retryAfter(input.expectedWait()));
         }
-        Duration longest = longestWait(input.kind(), input.timeLeft());
-        if (input.expectedWait().compareTo(longest) > 0) {
-            return new Refuse("the wait would be too long", retry(input.expectedWait()));
+        Duration maxWait = maxWait(input.kind(), input.remainingTime());
+        if (input.expectedWait().compareTo(maxWait) > 0) {
+            return new Refuse("the wait would be too long", retryAfter(input.expectedWait()));
         }
         return new Queue();
     }
 
-    /** Returns the longest wait after which the answer is still worth something. */
-    private static Duration longestWait(Kind kind, Duration timeLeft) {
+    /** Returns the longest wait after which the response is still of use. */
+    private static Duration maxWait(Kind kind, Duration remainingTime) {
         boolean high = kind.value() == Value.HIGH;
-        Duration most = kind.urgency() == Urgency.URGENT
+        Duration limit = kind.urgency() == Urgency.URGENT
                 ? Duration.ofMillis(high ? 1000 : 400)
                 : Duration.ofSeconds(high ? 30 : 10);
-        Duration half = timeLeft.dividedBy(2);
-        return half.compareTo(most) < 0 ? half : most;
+        Duration half = remainingTime.dividedBy(2);
+        return half.compareTo(limit) < 0 ? half : limit;
     }
 
-    private static Duration retry(Duration wait) {
-        if (wait.compareTo(LEAST_RETRY) < 0) {
-            return LEAST_RETRY;
+    private static Duration retryAfter(Duration expectedWait) {
+        if (expectedWait.compareTo(MIN_RETRY_AFTER) < 0) {
+            return MIN_RETRY_AFTER;
         }
-        return wait.compareTo(LONGEST_RETRY) > 0 ? LONGEST_RETRY : wait;
+        return expectedWait.compareTo(MAX_RETRY_AFTER) > 0 ? MAX_RETRY_AFTER : expectedWait;
     }
 }
--- a/core/src/main/java/org/verbenatally/policy/WorkRequest.java
+++ b/core/src/main/java/org/verbenatally/policy/WorkRequest.java
@@ -8,15 +8,15 @@
 import org.verbenatally.core.TargetId;
 
 /**
- * One attempt that asks for a target.
+ * A request for a target, made for one attempt.
  *
  * @param kind the kind of work
- * @param organisation whose work it is
+ * @param organisation the organisation that the work belongs to
  * @param promptTokens estimated length of the prompt, in tokens; 0 for plain services
  * @param prefixHash hash of the leading part of the prompt, 0 if it has none; equal prefixes share cached memory
  * @param fingerprint identifies equal requests
  * @param deadlineNanos deadline on the timer service's monotonic clock, in nanoseconds
- * @param exclude targets that must not be chosen, for example those of earlier attempts
+ * @param excludedTargets targets that must not be chosen, for example those of earlier attempts
  */
 public record WorkRequest(
         Kind kind,
@@ -25,10 +25,10 @@
         long prefixHash,
         Fingerprint fingerprint,
         long deadlineNanos,
-        Set<TargetId> exclude) {
+        Set<TargetId> excludedTargets) {
 
     /**
-     * Checks the parts and copies the excluded targets.
+     * Checks the components and copies the excluded targets.
      *
      * @throws IllegalArgumentException if the prompt length is negative
      */
@@ -39,6 +39,6 @@
         if (promptTokens < 0) {
             throw new IllegalArgumentException("promptTokens must not be negative: " + promptTokens);
         }
-        exclude = Set.copyOf(exclude);
+        excludedTargets = Set.copyOf(excludedTargets);
     }
 }
--- a/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
+++ b/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
@@ -66,7 +66,7 @@
             }
             timer.advance(Duration.ofMillis(10));
             assertThat(dispatcher.queued()).isLessThanOrEqualTo(7);
-            assertThat(dispatcher.open()).isEqualTo(flying.size());
+            assertThat(dispatcher.inFlight()).isEqualTo(flying.size());
         }
         while (!flying.isEmpty()) {
             flying.poll().end(FlightEnd.DONE);
@@ -74,7 +74,7 @@
         dispatcher.close();
         assertThat(asked).allMatch(CompletableFuture::isDone);
         assertThat(flying).isEmpty();
-        assertThat(dispatcher.open()).isZero();
+        assertThat(dispatcher.inFlight()).isZero();
         assertThat(targets.ownLoads()).isEmpty();
         asked.stream().filter(CompletableFuture::isCompletedExceptionally).forEach(f -> {
             StepException failure = (StepException) f.exceptionNow();
@@ -150,7 +150,7 @@
 
         @Operation
         public int open() {
-            return dispatcher.open();
+            return dispatcher.inFlight();
         }
     }
 
--- a/core/src/test/java/org/verbenatally/policy/LengthModelTest.java
+++ b/core/src/test/java/org/verbenatally/policy/LengthModelTest.java
@@ -23,7 +23,7 @@
             @ForAll @Size(max = 100) List<@IntRange(min = 0, max = 20_000) Integer> lengths,
             @ForAll @IntRange(min = 0, max = 20_000) int soFar) {
         HistogramLengthModel model = new HistogramLengthModel();
-        lengths.forEach(length -> model.finished(KIND, ORG, length));
+        lengths.forEach(length -> model.observe(KIND, ORG, length));
         double expected = model.expectedRemaining(KIND, ORG, soFar);
         assertThat(expected).isBetween(0.0, (double) Math.max(0, KIND.maxTokens() - soFar));
     }
@@ -33,7 +33,7 @@
     void longGenerationsAreExpectedToGrowFurther() {
         HistogramLengthModel model = new HistogramLengthModel();
         for (int i = 0; i < 500; i++) {
-            model.finished(KIND, ORG, i % 10 == 0 ? 8_000 : 100);
+            model.observe(KIND, ORG, i % 10 == 0 ? 8_000 : 100);
         }
         assertThat(model.expectedRemaining(KIND, ORG, 0)).isCloseTo(890, within(250.0));
         assertThat(model.expectedRemaining(KIND, ORG, 1_000)).isGreaterThan(5_000);
@@ -45,8 +45,8 @@
         HistogramLengthModel model = new HistogramLengthModel();
         OrganisationId other = new OrganisationId("gibe");
         for (int i = 0; i < 300; i++) {
-            model.finished(KIND, ORG, 50);
-            model.finished(KIND, other, 2_000);
+            model.observe(KIND, ORG, 50);
+            model.observe(KIND, other, 2_000);
         }
         assertThat(model.expectedRemaining(KIND, ORG, 0)).isLessThan(model.expectedRemaining(KIND, other, 0) / 4);
     }
--- a/core/src/test/java/org/verbenatally/policy/RetryBudgetTest.java
+++ b/core/src/test/java/org/verbenatally/policy/RetryBudgetTest.java
@@ -25,9 +25,9 @@
         int granted = 0;
         for (boolean retry : retries) {
             if (retry) {
-                granted += budget.tryRetry() ? 1 : 0;
+                granted += budget.tryWithdraw() ? 1 : 0;
             } else {
-                budget.success();
+                budget.deposit();
                 successes++;
             }
             assertThat(budget.available()).isBetween(0L, (long) bound);
@@ -40,13 +40,13 @@
         private final RetryBudget budget = new RetryBudget(1, 2);
 
         @Operation
-        public void success() {
-            budget.success();
+        public void deposit() {
+            budget.deposit();
         }
 
         @Operation
-        public boolean tryRetry() {
-            return budget.tryRetry();
+        public boolean tryWithdraw() {
+            return budget.tryWithdraw();
         }
 
         @Operation
--- a/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
+++ b/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
@@ -78,17 +78,17 @@
     void restartedTargetGetsWorkAgainOnceThePeersHaveSeenIt() {
         report(1, true);
         table.peerLeaving(PEER, Set.of(TARGET));
-        assertThat(table.anyMayRun(KIND)).isFalse();
+        assertThat(table.hasEligibleTarget(KIND)).isFalse();
         assertThat(table.knownLeaving()).containsExactly(TARGET);
 
         report(2, false);
-        assertThat(table.anyMayRun(KIND))
+        assertThat(table.hasEligibleTarget(KIND))
                 .as("a peer still says that it is leaving")
                 .isFalse();
         assertThat(table.knownLeaving()).as("hearsay is not passed on").isEmpty();
 
         table.peerLeaving(PEER, Set.of());
-        assertThat(table.anyMayRun(KIND)).isTrue();
+        assertThat(table.hasEligibleTarget(KIND)).isTrue();
     }
 
     /** Guards against new work on a target of which only the platform or a peer says that it is leaving. */
@@ -96,15 +96,15 @@
     void listAndPeersStopNewWorkAsLongAsTheySaySo() {
         report(1, false);
         table.listedLeaving(Set.of(TARGET));
-        assertThat(table.anyMayRun(KIND)).isFalse();
+        assertThat(table.hasEligibleTarget(KIND)).isFalse();
         assertThat(table.knownLeaving()).containsExactly(TARGET);
 
         table.listedLeaving(Set.of());
         table.peerLeaving(PEER, Set.of(TARGET));
-        assertThat(table.anyMayRun(KIND)).isFalse();
+        assertThat(table.hasEligibleTarget(KIND)).isFalse();
 
         table.forgetPeer(PEER);
-        assertThat(table.anyMayRun(KIND)).isTrue();
+        assertThat(table.hasEligibleTarget(KIND)).isTrue();
     }
 
     /** Guards against a dead target that attracts all requests because it has no load. */
@@ -112,11 +112,11 @@
     void unreachableTargetGetsNoWorkUntilItReports() {
         report(1, false);
         TargetState state = table.state(TARGET);
-        state.unreachable(timer.nanos());
-        assertThat(state.refusing(timer.nanos())).isTrue();
+        state.onUnreachable(timer.nanos());
+        assertThat(state.isInBackoff(timer.nanos())).isTrue();
 
         report(2, false);
-        assertThat(state.refusing(timer.nanos())).isFalse();
+        assertThat(state.isInBackoff(timer.nanos())).isFalse();
     }
 
     private void report(long run, boolean leaving) {
