--- a/core/src/main/java/org/verbenatally/order/DesiredState.java
+++ b/core/src/main/java/org/verbenatally/order/DesiredState.java
@@ -9,7 +9,10 @@
 import org.verbenatally.config.Target.LoadedModel;
 import org.verbenatally.core.ConfigVersion;
 
-/** The state that a configuration asks of its engines: a pure function, so all issuers with a version agree. */
+/**
+ * Computes the state that a configuration requires of its engines. The computation is pure, so all issuers with the
+ * same configuration version agree.
+ */
 public final class DesiredState {
     private DesiredState() {}
 
@@ -29,8 +32,8 @@
         return orders;
     }
 
-    /** Returns the orders whose content the reported state lacks. */
-    public static List<EngineOrder> missing(Deployment deployment, Target engine, EngineState reported) {
+    /** Returns the orders that the reported state does not meet. */
+    public static List<EngineOrder> unmet(Deployment deployment, Target engine, EngineState reported) {
         return orders(deployment, engine).stream()
                 .filter(o -> !isMet(o, reported))
                 .toList();
--- a/core/src/main/java/org/verbenatally/order/EngineState.java
+++ b/core/src/main/java/org/verbenatally/order/EngineState.java
@@ -6,12 +6,12 @@
 import org.verbenatally.config.Target.LoadedModel;
 
 /**
- * What an engine reports of itself.
+ * The state that an engine reports.
  *
- * @param incarnation its run
- * @param role its role
- * @param models the models it has loaded
- * @param leaving whether it is about to stop
+ * @param incarnation the engine's incarnation
+ * @param role the engine's role
+ * @param models the models that the engine has loaded
+ * @param leaving whether the engine is about to stop
  */
 public record EngineState(String incarnation, String role, List<LoadedModel> models, boolean leaving) {
     /** Copies the models. */
--- a/core/src/main/java/org/verbenatally/order/HttpEngineControl.java
+++ b/core/src/main/java/org/verbenatally/order/HttpEngineControl.java
@@ -21,17 +21,20 @@
 import org.verbenatally.core.Step;
 import org.verbenatally.core.StepException;
 
-/** The engines' HTTP interface: {@code GET /v1/load} and {@code POST /v1/orders}. */
+/** Client of the engines' HTTP interface: {@code GET /v1/load} and {@code POST /v1/orders}. */
 public final class HttpEngineControl implements EngineControl, AutoCloseable {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
-    private static final int MAX_BODY = 1 << 16;
+    private static final int MAX_BODY_BYTES = 1 << 16;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    private final HttpClient http;
+    private final HttpClient client;
 
-    /** Creates a client. Connections are not kept: reads are rare and an idle one may have gone silent. */
+    /**
+     * Creates a client. Connections are not kept alive: reads are rare, and an idle connection may have failed
+     * unnoticed.
+     */
     public HttpEngineControl(Vertx vertx) {
-        http = vertx.createHttpClient(new HttpClientOptions()
+        client = vertx.createHttpClient(new HttpClientOptions()
                 .setConnectTimeout((int) TIMEOUT.toMillis())
                 .setKeepAlive(false));
     }
@@ -52,7 +55,8 @@
                 .thenAccept(b -> {});
     }
 
-    private CompletableFuture<Buffer> call(Target engine, HttpMethod method, String uri, Buffer body, int expected) {
+    private CompletableFuture<Buffer> call(
+            Target engine, HttpMethod method, String uri, Buffer body, int expectedStatus) {
         var options = new RequestOptions()
                 .setMethod(method)
                 .setHost(engine.address().host())
@@ -60,12 +64,12 @@
                 .setURI(uri)
                 .setTimeout(TIMEOUT.toMillis());
         var result = new CompletableFuture<Buffer>();
-        http.request(options)
+        client.request(options)
                 .compose(request ->
                         request.putHeader("Content-Type", "application/json").send(body))
                 .compose(response -> response.body().map(b -> {
-                    if (response.statusCode() != expected || b.length() > MAX_BODY) {
-                        throw failure(engine, "status " + response.statusCode() + ", expected " + expected, null);
+                    if (response.statusCode() != expectedStatus || b.length() > MAX_BODY_BYTES) {
+                        throw failure(engine, "status " + response.statusCode() + ", expected " + expectedStatus, null);
                     }
                     return b;
                 }))
@@ -93,7 +97,7 @@
                     models,
                     json.path("leaving").asBoolean());
         } catch (java.io.IOException | IllegalArgumentException e) {
-            throw failure(engine, "report is not valid: " + e.getMessage(), e);
+            throw failure(engine, "invalid load report: " + e.getMessage(), e);
         }
     }
 
@@ -103,6 +107,6 @@
 
     @Override
     public void close() {
-        http.close();
+        client.close();
     }
 }
--- a/core/src/main/java/org/verbenatally/order/LoadBudget.java
+++ b/core/src/main/java/org/verbenatally/order/LoadBudget.java
@@ -3,34 +3,36 @@
 import java.time.Duration;
 
 /**
- * This entry's share of the weight store's rate. It holds at most one load and starts empty, so that neither a restart
- * nor an idle hour lets the sum over all entries pass the limit.
+ * This entry's share of the load rate of the weight store. The budget holds at most one load and starts empty, so that
+ * the sum over all entries stays below the limit even after a restart or an idle hour.
  */
 final class LoadBudget {
-    private static final double MINUTE = Duration.ofMinutes(1).toNanos();
+    private static final double NANOS_PER_MINUTE = Duration.ofMinutes(1).toNanos();
 
-    private double loads;
-    private long last;
+    private double balance;
+    private long lastNanos;
 
-    LoadBudget(long now) {
-        last = now;
+    LoadBudget(long nowNanos) {
+        lastNanos = nowNanos;
     }
 
     /**
      * Takes one load if the share allows it.
      *
-     * @param loadsPerMinute limit over all entries
+     * @param nowNanos the monotonic time, in nanoseconds
+     * @param loadsPerMinute limit over all entries, in loads per minute
      * @param entries the larger of the planned and the known number of entries
+     * @return whether a load was taken
      */
-    synchronized boolean take(long now, double loadsPerMinute, int entries) {
+    synchronized boolean tryTake(long nowNanos, double loadsPerMinute, int entries) {
         double share = loadsPerMinute / Math.max(1, entries);
-        loads = Math.min(1, loads + Math.max(0, now - last) / MINUTE * share);
-        last = now;
-        // A little less than one counts as one: adding many small parts rounds down.
-        if (loads < 1 - 1e-9) {
+        balance = Math.min(1, balance + Math.max(0, nowNanos - lastNanos) / NANOS_PER_MINUTE * share);
+        lastNanos = nowNanos;
+        // A balance slightly below one counts as one, because adding many small increments rounds down.
+        if (balance < 1 - 1e-9) {
             return false;
         }
-        loads = 0;
+        balance = 0;
         return true;
     }
 }
--- a/core/src/main/java/org/verbenatally/order/OrderIssuer.java
+++ b/core/src/main/java/org/verbenatally/order/OrderIssuer.java
@@ -29,20 +29,23 @@
 import org.verbenatally.time.TimerService.Subscription;
 
 /**
- * Brings the engines to the state that the configuration in force asks for. Every entry runs one; for each engine the
- * first live member by rendezvous hashing acts. Two issuers that act at once send the same absolute orders.
+ * Brings the engines into the state that the active configuration requires. Every entry runs an issuer; for each
+ * engine, the first live member by rendezvous hashing acts. Two issuers that act at the same time send the same
+ * absolute orders.
  */
 public final class OrderIssuer implements AutoCloseable {
-    /** Wait after a membership change or a pause; longer than the silence bound plus the pause check. */
-    static final Duration SETTLE = Duration.ofSeconds(5);
+    /**
+     * Wait after a membership change or a pause; longer than the silence timeout plus the interval of the pause check.
+     */
+    static final Duration SETTLE_TIME = Duration.ofSeconds(5);
 
-    /** Period of the rounds in which reported states are compared with the desired ones. */
-    static final Duration ROUND = Duration.ofSeconds(5);
+    /** Interval of the rounds, in which the reported states are compared with the desired ones. */
+    static final Duration ROUND_INTERVAL = Duration.ofSeconds(5);
 
-    /** An order that is not followed yet is sent again after this long; loading a model takes a while. */
-    static final Duration SEND_AGAIN = Duration.ofSeconds(60);
+    /** An order that the engine has not carried out is sent again after this time; loading a model takes a while. */
+    static final Duration RETRY_INTERVAL = Duration.ofSeconds(60);
 
-    /** A reported state may be this old when an order is sent because of it. */
+    /** Largest age of the reported state that an order is based on. */
     static final Duration MAX_STATE_AGE = Duration.ofSeconds(2);
 
     private static final Logger LOG = Logger.getLogger(OrderIssuer.class);
@@ -51,15 +54,15 @@
     private final Supplier<List<MemberInfo>> members;
     private final ConfigHolder<Deployment> config;
     private final EngineControl control;
-    private final TimerService timers;
-    private final LoadBudget budget;
-    private final Subscription round;
-    private final Set<TargetId> busy = ConcurrentHashMap.newKeySet();
-    private final Map<SentKey, Long> sent = new ConcurrentHashMap<>();
-    private final AtomicLong orders = new AtomicLong();
-    private Map<InstanceId, Status> view = Map.of();
-    private long viewPauses;
-    private long settledAt;
+    private final TimerService timer;
+    private final LoadBudget loadBudget;
+    private final Subscription roundSubscription;
+    private final Set<TargetId> inProgress = ConcurrentHashMap.newKeySet();
+    private final Map<SentKey, Long> sentNanos = new ConcurrentHashMap<>();
+    private final AtomicLong sentCount = new AtomicLong();
+    private Map<InstanceId, Status> lastMembership = Map.of();
+    private long lastPauseGeneration;
+    private long settledNanos;
 
     private record SentKey(TargetId engine, String incarnation, EngineOrder order) {}
 
@@ -68,137 +71,140 @@
      *
      * @param self id of this instance
      * @param members returns the members as this instance sees them
-     * @param config the configuration in force
+     * @param config the active configuration
      * @param control access to the engines
-     * @param timers the process's timer service
+     * @param timer the timer service of the process
      */
     public OrderIssuer(
             InstanceId self,
             Supplier<List<MemberInfo>> members,
             ConfigHolder<Deployment> config,
             EngineControl control,
-            TimerService timers) {
+            TimerService timer) {
         this.self = Objects.requireNonNull(self, "self");
         this.members = Objects.requireNonNull(members, "members");
         this.config = Objects.requireNonNull(config, "config");
         this.control = Objects.requireNonNull(control, "control");
-        this.timers = Objects.requireNonNull(timers, "timers");
-        budget = new LoadBudget(timers.nanos());
-        viewPauses = timers.pauseGeneration();
-        settledAt = timers.nanos() + SETTLE.toNanos();
-        round = timers.every(ROUND, t -> round());
+        this.timer = Objects.requireNonNull(timer, "timer");
+        loadBudget = new LoadBudget(timer.nanos());
+        lastPauseGeneration = timer.pauseGeneration();
+        settledNanos = timer.nanos() + SETTLE_TIME.toNanos();
+        roundSubscription = timer.every(ROUND_INTERVAL, t -> round());
     }
 
     /** Returns how many orders were sent. */
-    public long orders() {
-        return orders.get();
+    public long sentCount() {
+        return sentCount.get();
     }
 
-    /** Compares the engines of this issuer with their desired state; completes when all have been handled. */
+    /**
+     * Compares the engines of this issuer with their desired states; the future completes when all have been handled.
+     */
     CompletableFuture<Void> round() {
-        List<MemberInfo> seen = members.get();
-        long pauses = timers.pauseGeneration();
+        List<MemberInfo> membership = members.get();
+        long pauseGeneration = timer.pauseGeneration();
         Deployment deployment = config.deployment().orElse(null);
-        if (deployment == null || !isSettled(seen, pauses)) {
+        if (deployment == null || !isSettled(membership, pauseGeneration)) {
             return CompletableFuture.completedFuture(null);
         }
-        long now = timers.nanos();
-        sent.values().removeIf(t -> now - t > SEND_AGAIN.toNanos());
+        long now = timer.nanos();
+        sentNanos.values().removeIf(t -> now - t > RETRY_INTERVAL.toNanos());
         List<CompletableFuture<Void>> engines = deployment.targets().values().stream()
                 .filter(t -> t.type() == TargetType.ENGINE && !t.leaving())
-                .filter(t -> isIssuer(t, seen))
-                .filter(t -> busy.add(t.id()))
-                .map(t -> handle(deployment, t, pauses))
+                .filter(t -> isIssuer(t, membership))
+                .filter(t -> inProgress.add(t.id()))
+                .map(t -> startReconciliation(deployment, t, pauseGeneration))
                 .toList();
         return CompletableFuture.allOf(engines.toArray(CompletableFuture[]::new));
     }
 
-    /** Returns whether the membership has not changed and the process was not paused for a while. */
-    private synchronized boolean isSettled(List<MemberInfo> seen, long pauses) {
-        Map<InstanceId, Status> now = new HashMap<>();
-        seen.stream().filter(m -> m.status() != Status.GONE).forEach(m -> now.put(m.instance(), m.status()));
-        if (!now.equals(view) || pauses != viewPauses) {
-            view = now;
-            viewPauses = pauses;
-            settledAt = timers.nanos() + SETTLE.toNanos();
+    /** Returns whether, for the settle time, the membership has not changed and the process has not been paused. */
+    private synchronized boolean isSettled(List<MemberInfo> membership, long pauseGeneration) {
+        Map<InstanceId, Status> current = new HashMap<>();
+        membership.stream().filter(m -> m.status() != Status.GONE).forEach(m -> current.put(m.instance(), m.status()));
+        if (!current.equals(lastMembership) || pauseGeneration != lastPauseGeneration) {
+            lastMembership = current;
+            lastPauseGeneration = pauseGeneration;
+            settledNanos = timer.nanos() + SETTLE_TIME.toNanos();
         }
-        return timers.nanos() - settledAt >= 0;
+        return timer.nanos() - settledNanos >= 0;
     }
 
-    private boolean isIssuer(Target engine, List<MemberInfo> seen) {
-        List<InstanceId> live = seen.stream()
+    private boolean isIssuer(Target engine, List<MemberInfo> membership) {
+        List<InstanceId> live = membership.stream()
                 .filter(m -> m.status() == Status.LIVE)
                 .map(MemberInfo::instance)
                 .toList();
         return Rendezvous.choose("order/" + engine.id(), live, 1).equals(List.of(self));
     }
 
-    private CompletableFuture<Void> handle(Deployment deployment, Target engine, long pauses) {
+    private CompletableFuture<Void> startReconciliation(Deployment deployment, Target engine, long pauseGeneration) {
         var done = new CompletableFuture<Void>();
         Thread.ofVirtual().name("order-" + engine.id()).start(() -> {
             try {
-                reconcile(deployment, engine, pauses);
+                reconcile(deployment, engine, pauseGeneration);
             } catch (ExecutionException e) {
                 LOG.warnf("order: %s: %s", engine.id(), e.getCause().getMessage());
             } catch (TimeoutException e) {
-                LOG.warnf("order: %s does not answer", engine.id());
+                LOG.warnf("order: %s did not respond in time", engine.id());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             } finally {
-                busy.remove(engine.id());
+                inProgress.remove(engine.id());
                 done.complete(null);
             }
         });
         return done;
     }
 
-    private void reconcile(Deployment deployment, Target engine, long pauses)
+    private void reconcile(Deployment deployment, Target engine, long pauseGeneration)
             throws ExecutionException, InterruptedException, TimeoutException {
-        long start = timers.nanos();
+        long startNanos = timer.nanos();
         EngineState state = control.state(engine).get(MAX_STATE_AGE.toNanos(), TimeUnit.NANOSECONDS);
         if (state.leaving()) {
             return;
         }
-        for (EngineOrder order : DesiredState.missing(deployment, engine, state)) {
+        for (EngineOrder order : DesiredState.unmet(deployment, engine, state)) {
             var key = new SentKey(engine.id(), state.incarnation(), order);
-            if (sent.containsKey(key)
-                    || !mayStillSend(deployment, engine, pauses, start)
-                    || !afford(deployment, order)) {
+            if (sentNanos.containsKey(key)
+                    || !isSendAllowed(deployment, engine, pauseGeneration, startNanos)
+                    || !tryTakeLoad(deployment, order)) {
                 continue;
             }
-            // Read again right before the send: a pause in between makes everything above out of date.
-            if (!mayStillSend(deployment, engine, pauses, start)) {
+            // Checked again right before sending: a pause in between would make the checks above out of date.
+            if (!isSendAllowed(deployment, engine, pauseGeneration, startNanos)) {
                 return;
             }
-            sent.put(key, timers.nanos());
-            orders.incrementAndGet();
-            LOG.infof("order: %s to %s", order, engine.id());
+            sentNanos.put(key, timer.nanos());
+            sentCount.incrementAndGet();
+            LOG.infof("order: sending %s to %s", order, engine.id());
             control.send(engine, order).get(MAX_STATE_AGE.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
-    private boolean mayStillSend(Deployment deployment, Target engine, long pauses, long start) {
-        return timers.pauseGeneration() == pauses
-                && timers.nanos() - start < MAX_STATE_AGE.toNanos()
+    private boolean isSendAllowed(Deployment deployment, Target engine, long pauseGeneration, long startNanos) {
+        return timer.pauseGeneration() == pauseGeneration
+                && timer.nanos() - startNanos < MAX_STATE_AGE.toNanos()
                 && config.deployment().filter(d -> d == deployment).isPresent()
                 && isIssuer(engine, members.get());
     }
 
-    private boolean afford(Deployment deployment, EngineOrder order) {
+    private boolean tryTakeLoad(Deployment deployment, EngineOrder order) {
         if (!order.loadsWeights()) {
             return true;
         }
-        // Suspect members count: they may be alive on the other side of a partition and load as well.
-        int live = members.get().stream()
+        // Suspected members count: they may be alive on the other side of a partition and issue loads as well.
+        int memberCount = members.get().stream()
                 .filter(m -> m.status() != Status.GONE)
                 .map(MemberInfo::instance)
                 .collect(Collectors.toSet())
                 .size();
-        return budget.take(timers.nanos(), deployment.loadsPerMinute(), Math.max(deployment.entryCount(), live));
+        return loadBudget.tryTake(
+                timer.nanos(), deployment.loadsPerMinute(), Math.max(deployment.entryCount(), memberCount));
     }
 
     @Override
     public void close() {
-        round.cancel();
+        roundSubscription.cancel();
     }
 }
--- a/core/src/main/java/org/verbenatally/order/package-info.java
+++ b/core/src/main/java/org/verbenatally/order/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to engines: which model, adapters, version and role each is to have, and who tells it. */
+/** Orders to engines: the models, adapters, versions and role that each must have, and the entry that sends them. */
 package org.verbenatally.order;
--- a/core/src/test/java/org/verbenatally/order/OrderIssuerTest.java
+++ b/core/src/test/java/org/verbenatally/order/OrderIssuerTest.java
@@ -33,16 +33,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class OrderIssuerTest {
-    private final PausableTimers timers = new PausableTimers();
-    private final Engines engines = new Engines();
+    private final PausableTimers timer = new PausableTimers();
+    private final EngineStub engines = new EngineStub();
 
     @AfterEach
     void close() {
-        timers.close();
+        timer.close();
     }
 
-    /** Engines in memory; those with an odd number check the fencing number. */
-    private final class Engines implements EngineControl {
+    /** In-memory engines; those with an odd number check the fencing number. */
+    private final class EngineStub implements EngineControl {
         private final Map<TargetId, EngineState> states = new ConcurrentHashMap<>();
         private final Map<TargetId, Long> fences = new ConcurrentHashMap<>();
         private final List<EngineOrder> orders = new java.util.concurrent.CopyOnWriteArrayList<>();
@@ -113,9 +113,9 @@
     }
 
     private OrderIssuer issuer(String self, ConfigHolder<Deployment> config, List<MemberInfo> members) {
-        var issuer = new OrderIssuer(new InstanceId(self), () -> List.copyOf(members), config, engines, timers);
+        var issuer = new OrderIssuer(new InstanceId(self), () -> List.copyOf(members), config, engines, timer);
         run(issuer);
-        timers.advance(OrderIssuer.SETTLE);
+        timer.advance(OrderIssuer.SETTLE_TIME);
         return issuer;
     }
 
@@ -127,13 +127,13 @@
         }
     }
 
-    /** Runs rounds, with time for the weight store's rate in between. */
+    /** Runs rounds for the given time, five seconds apart, so that the load budgets refill in between. */
     private void runFor(Duration time, OrderIssuer... issuers) {
         for (long t = 0; t < time.toSeconds(); t += 5) {
             for (OrderIssuer issuer : issuers) {
                 run(issuer);
             }
-            timers.advance(Duration.ofSeconds(5));
+            timer.advance(Duration.ofSeconds(5));
         }
     }
 
@@ -143,15 +143,15 @@
                         .allMatch(s -> s.models().getFirst().version().equals(version));
     }
 
-    /** Guards against orders without a difference, which would load models again and again. */
+    /** Guards against orders for states that are already met, which would load models again and again. */
     @Test
     void sendsOnlyOnDifference() throws Exception {
         var issuer = issuer("a", config(1, 1), List.of(member("a", Status.LIVE)));
         runFor(Duration.ofMinutes(2), issuer);
         assertThat(allHave("1")).isTrue();
-        assertThat(issuer.orders()).isEqualTo(4);
+        assertThat(issuer.sentCount()).isEqualTo(4);
         runFor(Duration.ofMinutes(5), issuer);
-        assertThat(issuer.orders()).isEqualTo(4);
+        assertThat(issuer.sentCount()).isEqualTo(4);
     }
 
     /** Guards against two issuers with different views of the membership that undo each other's orders. */
@@ -163,44 +163,47 @@
         runFor(Duration.ofMinutes(3), a, b);
         assertThat(allHave("3")).isTrue();
         assertThat(engines.orders.stream().distinct()).hasSize(1);
-        long before = a.orders() + b.orders();
+        long before = a.sentCount() + b.sentCount();
         runFor(Duration.ofMinutes(3), a, b);
-        assertThat(a.orders() + b.orders()).isEqualTo(before);
+        assertThat(a.sentCount() + b.sentCount()).isEqualTo(before);
     }
 
-    /** Guards against orders of a process that was paused between its check and its decision. */
+    /** Guards against orders from a process that was paused between reading a state and sending an order. */
     @Test
     void pausedIssuerSendsNothingUntilSettled() throws Exception {
         var issuer = issuer("a", config(1, 1), List.of(member("a", Status.LIVE)));
-        timers.advance(Duration.ofMinutes(1));
+        timer.advance(Duration.ofMinutes(1));
         engines.afterRead = () -> {
-            timers.pause();
-            timers.resume(Duration.ofMinutes(1));
+            timer.pause();
+            timer.resume(Duration.ofMinutes(1));
         };
         run(issuer);
         engines.afterRead = () -> {};
         run(issuer);
-        assertThat(issuer.orders()).isZero();
-        timers.advance(OrderIssuer.SETTLE);
+        assertThat(issuer.sentCount()).isZero();
+        timer.advance(OrderIssuer.SETTLE_TIME);
         run(issuer);
-        assertThat(issuer.orders()).isPositive();
+        assertThat(issuer.sentCount()).isPositive();
     }
 
-    /** Guards against an old order that arrives late: refused by fence, or repaired by the next round. */
+    /**
+     * Guards against an old order that arrives late: the engine refuses it by its fencing number, or the next round
+     * corrects it.
+     */
     @Test
-    void lateOldOrderIsRefusedOrRepaired() throws Exception {
+    void delayedOldOrderIsRefusedOrCorrected() throws Exception {
         var members = List.of(member("b", Status.LIVE));
-        var next = issuer("b", config(2, 1), members);
+        var newIssuer = issuer("b", config(2, 1), members);
         var holder = config(1, 1);
-        List<Runnable> late = new ArrayList<>();
+        List<Runnable> delayed = new ArrayList<>();
         for (Target engine : holder.deployment().orElseThrow().targets().values()) {
-            EngineOrder old =
+            EngineOrder oldOrder =
                     DesiredState.orders(holder.deployment().get(), engine).getLast();
-            late.add(() -> engines.apply(engine, old));
+            delayed.add(() -> engines.apply(engine, oldOrder));
         }
-        runFor(Duration.ofMinutes(3), next);
+        runFor(Duration.ofMinutes(3), newIssuer);
         assertThat(allHave("2")).isTrue();
-        late.forEach(Runnable::run);
+        delayed.forEach(Runnable::run);
         assertThat(allHave("2")).isFalse();
         assertThat(engines.states
                         .get(new TargetId("engine-1"))
@@ -208,30 +211,32 @@
                         .getFirst()
                         .version())
                 .isEqualTo("2");
-        runFor(Duration.ofMinutes(3), next);
+        runFor(Duration.ofMinutes(3), newIssuer);
         assertThat(allHave("2")).isTrue();
     }
 
-    /** Guards against orders while it is open who the issuer is, and against two issuers for one engine. */
+    /**
+     * Guards against orders while it is undecided which member is the issuer, and against two issuers for one engine.
+     */
     @Test
-    void waitsAfterMembershipChangeAndActsForItsOwnEnginesOnly() throws Exception {
+    void waitsAfterMembershipChangeAndActsOnlyForItsOwnEngines() throws Exception {
         List<MemberInfo> members = new ArrayList<>(List.of(member("a", Status.LIVE), member("b", Status.LIVE)));
         var a = issuer("a", config(1, 2), members);
         var b = issuer("b", config(1, 2), members);
         members.set(1, member("b", Status.SUSPECT));
-        timers.advance(Duration.ofMinutes(1));
+        timer.advance(Duration.ofMinutes(1));
         run(a);
-        assertThat(a.orders()).isZero();
+        assertThat(a.sentCount()).isZero();
         members.set(1, member("b", Status.LIVE));
         run(a);
         run(b);
-        timers.advance(OrderIssuer.SETTLE);
+        timer.advance(OrderIssuer.SETTLE_TIME);
         runFor(Duration.ofMinutes(4), a, b);
         assertThat(allHave("1")).isTrue();
-        assertThat(a.orders() + b.orders()).isEqualTo(4);
+        assertThat(a.sentCount() + b.sentCount()).isEqualTo(4);
     }
 
-    /** Guards against a fleet whose entries together pass the weight store's limit. */
+    /** Guards against entries that together exceed the weight store's limit. */
     @Test
     void sumOfSharesStaysBelowTheLimit() throws Exception {
         LoadBudget[] budgets = new LoadBudget[8];
@@ -239,7 +244,7 @@
         int taken = 0;
         for (long second = 1; second <= 600; second++) {
             for (LoadBudget budget : budgets) {
-                taken += budget.take(TimeUnit.SECONDS.toNanos(second), 6, 8) ? 1 : 0;
+                taken += budget.tryTake(TimeUnit.SECONDS.toNanos(second), 6, 8) ? 1 : 0;
             }
             assertThat(taken).isLessThanOrEqualTo((int) Math.ceil(second / 60.0 * 6));
         }
--- a/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
+++ b/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
@@ -41,14 +41,14 @@
         return dispatcher;
     }
 
-    /** Guards against requests that are lost, end twice in the accounts, or wait beyond the bound of the queue. */
+    /** Guards against requests that are lost, are counted as ended twice, or exceed the bound of the queue. */
     @Property(seed = "13", tries = 100)
-    void everyRequestIsAnsweredAndEveryFlightReleasesItsPlaceOnce(
+    void everyRequestCompletesAndReleasesItsSlotOnce(
             @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 5) Integer> actions,
             @ForAll @IntRange(min = 0, max = 6) int policy) {
         Dispatcher dispatcher = dispatcher(PolicySuite.names().get(policy), 3, 4, 7);
-        List<CompletableFuture<Flight>> asked = new ArrayList<>();
-        Deque<Flight> flying = new ArrayDeque<>();
+        List<CompletableFuture<Flight>> futures = new ArrayList<>();
+        Deque<Flight> inFlight = new ArrayDeque<>();
         long number = 0;
         for (int action : actions) {
             if (action < 4) {
@@ -56,38 +56,38 @@
                 Kind kind = action == 0 ? LOOKUP : GUIDE;
                 CompletableFuture<Flight> future =
                         dispatcher.acquire(Fixtures.request(kind, owner, ++number, timer.nanos() + DEADLINE));
-                future.thenAccept(flying::add);
-                asked.add(future);
-            } else if (!flying.isEmpty()) {
-                Flight flight = flying.poll();
+                future.thenAccept(inFlight::add);
+                futures.add(future);
+            } else if (!inFlight.isEmpty()) {
+                Flight flight = inFlight.poll();
                 flight.token();
                 flight.end(action == 4 ? FlightEnd.DONE : FlightEnd.FAILED);
                 flight.end(FlightEnd.DONE);
             }
             timer.advance(Duration.ofMillis(10));
             assertThat(dispatcher.queued()).isLessThanOrEqualTo(7);
-            assertThat(dispatcher.inFlight()).isEqualTo(flying.size());
+            assertThat(dispatcher.inFlight()).isEqualTo(inFlight.size());
         }
-        while (!flying.isEmpty()) {
-            flying.poll().end(FlightEnd.DONE);
+        while (!inFlight.isEmpty()) {
+            inFlight.poll().end(FlightEnd.DONE);
         }
         dispatcher.close();
-        assertThat(asked).allMatch(CompletableFuture::isDone);
-        assertThat(flying).isEmpty();
+        assertThat(futures).allMatch(CompletableFuture::isDone);
+        assertThat(inFlight).isEmpty();
         assertThat(dispatcher.inFlight()).isZero();
         assertThat(targets.ownLoads()).isEmpty();
-        asked.stream().filter(CompletableFuture::isCompletedExceptionally).forEach(f -> {
+        futures.stream().filter(CompletableFuture::isCompletedExceptionally).forEach(f -> {
             StepException failure = (StepException) f.exceptionNow();
             assertThat(failure.outcome()).isEqualTo(Outcome.NOT_RUN);
             assertThat(failure.retryAfter()).isPresent();
         });
     }
 
-    /** Guards against a large organisation that starves a small one: places are shared by weight. */
+    /** Guards against a large organisation that starves a small one: slots are shared in proportion to the shares. */
     @Property(seed = "14", tries = 20)
     void sharesConvergeUnderBacklog(@ForAll @IntRange(min = 1, max = 4) int share) {
         Dispatcher dispatcher = dispatcher("headroom", 1, 4, 2000);
-        Deque<Flight> flying = new ArrayDeque<>();
+        Deque<Flight> inFlight = new ArrayDeque<>();
         Map<String, Integer> started = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             for (String name : List.of("large", "small")) {
@@ -96,12 +96,12 @@
                         .acquire(Fixtures.request(LOOKUP, owner, 2L * i + name.length(), timer.nanos() + DEADLINE))
                         .thenAccept(flight -> {
                             started.merge(name, 1, Integer::sum);
-                            flying.add(flight);
+                            inFlight.add(flight);
                         });
             }
-            // Starts keep the estimated wait short enough for the queue to accept the rest.
-            if (i % 2 == 0 && !flying.isEmpty()) {
-                flying.poll().end(FlightEnd.DONE);
+            // Regular starts keep the estimated wait short enough that the queue accepts the other requests.
+            if (i % 2 == 0 && !inFlight.isEmpty()) {
+                inFlight.poll().end(FlightEnd.DONE);
             }
             timer.advance(Duration.ofMillis(20));
         }
@@ -110,7 +110,7 @@
         dispatcher.close();
     }
 
-    /** Guards against a request that goes to a target that is leaving. */
+    /** Guards against requests that are sent to a leaving target. */
     @Test
     void leavingTargetsGetNoNewWork() {
         Dispatcher dispatcher = dispatcher("headroom", 2, 8, 10);
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Guards against a request that takes down one target after another. */
+    /** Guards against a request that crashes one target after another. */
     @Test
     void aRequestThatCrashesTwoTargetsAloneIsRefused() {
         Dispatcher dispatcher = dispatcher("headroom", 3, 8, 10);
@@ -149,12 +149,12 @@
         }
 
         @Operation
-        public int open() {
+        public int inFlight() {
             return dispatcher.inFlight();
         }
     }
 
-    /** Guards against a flight that is ended twice at the same time and releases two places. */
+    /** Guards against a request that is ended twice concurrently and releases two slots. */
     @Test
     void endingIsLinearizable() {
         new ModelCheckingOptions()
--- a/core/src/test/java/org/verbenatally/policy/LengthModelTest.java
+++ b/core/src/test/java/org/verbenatally/policy/LengthModelTest.java
@@ -17,18 +17,18 @@
     private static final OrganisationId ORG = new OrganisationId("tana");
     private static final Kind KIND = Fixtures.engineKind("guide", Kind.Urgency.PATIENT);
 
-    /** Guards against an expectation that is negative, or longer than the kind allows. */
+    /** Guards against a prediction that is negative or longer than the kind allows. */
     @Property(seed = "12", tries = 200)
-    void expectationStaysWithinTheKindsBounds(
+    void predictionStaysWithinTheKindsBounds(
             @ForAll @Size(max = 100) List<@IntRange(min = 0, max = 20_000) Integer> lengths,
-            @ForAll @IntRange(min = 0, max = 20_000) int soFar) {
+            @ForAll @IntRange(min = 0, max = 20_000) int generatedTokens) {
         HistogramLengthModel model = new HistogramLengthModel();
         lengths.forEach(length -> model.observe(KIND, ORG, length));
-        double expected = model.expectedRemaining(KIND, ORG, soFar);
-        assertThat(expected).isBetween(0.0, (double) Math.max(0, KIND.maxTokens() - soFar));
+        double expected = model.expectedRemaining(KIND, ORG, generatedTokens);
+        assertThat(expected).isBetween(0.0, (double) Math.max(0, KIND.maxTokens() - generatedTokens));
     }
 
-    /** Guards against a model that forgets that a long generation is likely to grow further. */
+    /** Guards against a model that does not expect long generations to grow further. */
     @Test
     void longGenerationsAreExpectedToGrowFurther() {
         HistogramLengthModel model = new HistogramLengthModel();
@@ -39,9 +39,9 @@
         assertThat(model.expectedRemaining(KIND, ORG, 1_000)).isGreaterThan(5_000);
     }
 
-    /** Guards against one organisation's lengths deciding for another. */
+    /** Guards against the lengths of one organisation determining the prediction for another. */
     @Test
-    void organisationsDiffer() {
+    void organisationsArePredictedSeparately() {
         HistogramLengthModel model = new HistogramLengthModel();
         OrganisationId other = new OrganisationId("gibe");
         for (int i = 0; i < 300; i++) {
--- a/core/src/test/java/org/verbenatally/policy/RetryBudgetTest.java
+++ b/core/src/test/java/org/verbenatally/policy/RetryBudgetTest.java
@@ -19,8 +19,8 @@
     void retriesNeverExceedTheShareOfSuccesses(
             @ForAll List<Boolean> retries,
             @ForAll @DoubleRange(min = 0, max = 1) double share,
-            @ForAll @IntRange(min = 1, max = 20) int bound) {
-        RetryBudget budget = new RetryBudget(share, bound);
+            @ForAll @IntRange(min = 1, max = 20) int maxRetries) {
+        RetryBudget budget = new RetryBudget(share, maxRetries);
         int successes = 0;
         int granted = 0;
         for (boolean retry : retries) {
@@ -30,8 +30,8 @@
                 budget.deposit();
                 successes++;
             }
-            assertThat(budget.available()).isBetween(0L, (long) bound);
-            assertThat(granted).isLessThanOrEqualTo((int) (bound + (share + 0.001) * successes));
+            assertThat(budget.available()).isBetween(0L, (long) maxRetries);
+            assertThat(granted).isLessThanOrEqualTo((int) (maxRetries + (share + 0.001) * successes));
         }
     }
 
--- a/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
+++ b/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
@@ -73,9 +73,12 @@
         timer.close();
     }
 
-    /** Guards against entries that remind each other for ever of a target that has restarted under the same id. */
+    /**
+     * Guards against entries that forever report a target to each other as leaving after it has restarted under the same
+     * id.
+     */
     @Test
-    void restartedTargetGetsWorkAgainOnceThePeersHaveSeenIt() {
+    void restartedTargetGetsWorkAgainOncePeersNoLongerReportItLeaving() {
         report(1, true);
         table.peerLeaving(PEER, Set.of(TARGET));
         assertThat(table.hasEligibleTarget(KIND)).isFalse();
@@ -83,17 +86,19 @@
 
         report(2, false);
         assertThat(table.hasEligibleTarget(KIND))
-                .as("a peer still says that it is leaving")
+                .as("a peer still reports the target as leaving")
                 .isFalse();
-        assertThat(table.knownLeaving()).as("hearsay is not passed on").isEmpty();
+        assertThat(table.knownLeaving())
+                .as("second-hand reports are not passed on")
+                .isEmpty();
 
         table.peerLeaving(PEER, Set.of());
         assertThat(table.hasEligibleTarget(KIND)).isTrue();
     }
 
-    /** Guards against new work on a target of which only the platform or a peer says that it is leaving. */
+    /** Guards against new work on a target that only the platform's published list or a peer reports as leaving. */
     @Test
-    void listAndPeersStopNewWorkAsLongAsTheySaySo() {
+    void publishedListAndPeersStopNewWorkWhileTheyReportLeaving() {
         report(1, false);
         table.listedLeaving(Set.of(TARGET));
         assertThat(table.hasEligibleTarget(KIND)).isFalse();
@@ -107,7 +112,7 @@
         assertThat(table.hasEligibleTarget(KIND)).isTrue();
     }
 
-    /** Guards against a dead target that attracts all requests because it has no load. */
+    /** Guards against an unreachable target that attracts all requests because it has no load. */
     @Test
     void unreachableTargetGetsNoWorkUntilItReports() {
         report(1, false);
@@ -119,9 +124,18 @@
         assertThat(state.isInBackoff(timer.nanos())).isFalse();
     }
 
-    private void report(long run, boolean leaving) {
+    private void report(long incarnation, boolean leaving) {
         table.report(
                 TARGET,
-                new ReportedLoad(new Incarnation(run), timer.epochMillis() + run, 0, 0, 0, 0, 0, Set.of(), leaving));
+                new ReportedLoad(
+                        new Incarnation(incarnation),
+                        timer.epochMillis() + incarnation,
+                        0,
+                        0,
+                        0,
+                        0,
+                        0,
+                        Set.of(),
+                        leaving));
     }
 }
