--- a/core/src/main/java/org/verbenatally/order/OrderIssuer.java
+++ b/core/src/main/java/org/verbenatally/order/OrderIssuer.java
@@ -62,7 +62,7 @@
     private final AtomicLong sentCount = new AtomicLong();
     private Map<InstanceId, Status> lastMembership = Map.of();
     private long lastPauseGeneration;
-    private long settledNanos;
+    private long settledAtNanos;
 
     private record SentKey(TargetId engine, String incarnation, EngineOrder order) {}
 
@@ -88,7 +88,7 @@
         this.timer = Objects.requireNonNull(timer, "timer");
         loadBudget = new LoadBudget(timer.nanos());
         lastPauseGeneration = timer.pauseGeneration();
-        settledNanos = timer.nanos() + SETTLE_TIME.toNanos();
+        settledAtNanos = timer.nanos() + SETTLE_TIME.toNanos();
         roundSubscription = timer.every(ROUND_INTERVAL, t -> round());
     }
 
@@ -125,9 +125,9 @@
         if (!current.equals(lastMembership) || pauseGeneration != lastPauseGeneration) {
             lastMembership = current;
             lastPauseGeneration = pauseGeneration;
-            settledNanos = timer.nanos() + SETTLE_TIME.toNanos();
+            settledAtNanos = timer.nanos() + SETTLE_TIME.toNanos();
         }
-        return timer.nanos() - settledNanos >= 0;
+        return timer.nanos() - settledAtNanos >= 0;
     }
 
     private boolean isIssuer(Target engine, List<MemberInfo> membership) {
--- a/core/src/main/java/org/verbenatally/policy/BaselineRouting.java
+++ b/core/src/main/java/org/verbenatally/policy/BaselineRouting.java
@@ -13,8 +13,8 @@
 import org.verbenatally.policy.TargetSnapshot.Estimate;
 
 /**
- * Common routing policies, used as baselines for comparison. They respect only the configured concurrency and do not
- * forecast memory use.
+ * Common routing policies, used as baselines for comparison. They respect only the configured concurrency limit and do
+ * not forecast memory use.
  */
 final class BaselineRouting {
     private BaselineRouting() {}
--- a/core/src/main/java/org/verbenatally/policy/HeadroomRouting.java
+++ b/core/src/main/java/org/verbenatally/policy/HeadroomRouting.java
@@ -11,8 +11,8 @@
 
 /**
  * Routes a request to the target with the most headroom, judged by the expected peak of key-value memory and by the
- * batch. Patient work waits if its growth would overcommit the memory of every candidate, or if it would take the last
- * slots, which are reserved for urgent work.
+ * share of the batch in use. Patient work waits if its growth would overcommit the memory of every candidate, or if it
+ * would take the last slots, which are reserved for urgent work.
  *
  * @param reserve share of the concurrency limit that is reserved for urgent work
  * @param noise width of the random part of a score, which spreads the requests of entries that see the same loads
--- a/core/src/main/java/org/verbenatally/policy/KvForecast.java
+++ b/core/src/main/java/org/verbenatally/policy/KvForecast.java
@@ -47,7 +47,7 @@
         return peak;
     }
 
-    /** Returns how many more requests like this one fit into a memory of the given size in tokens; may be negative. */
+    /** Returns how many more requests of this size fit into a memory of {@code memoryTokens}; may be negative. */
     double additionalRequests(double heldTokens, double remainingTokens, double memoryTokens) {
         double requests = Double.MAX_VALUE;
         for (int i = 0; i < STEPS.length; i++) {
--- a/core/src/main/java/org/verbenatally/policy/TargetState.java
+++ b/core/src/main/java/org/verbenatally/policy/TargetState.java
@@ -149,8 +149,8 @@
     /** Records a checked report that was created at the given time of this entry's clock. */
     synchronized void report(ReportedLoad load, long createdNanos) {
         ReceivedReport last = lastReport;
-        boolean sameRun = last != null && last.load().incarnation().equals(load.incarnation());
-        if (sameRun && load.atMs() <= last.load().atMs()) {
+        boolean sameIncarnation = last != null && last.load().incarnation().equals(load.incarnation());
+        if (sameIncarnation && load.atMs() <= last.load().atMs()) {
             return;
         }
         lastReport = new ReceivedReport(load, createdNanos, loadTrace.at(createdNanos), sentUntil(createdNanos));
@@ -159,7 +159,7 @@
             inBackoff = false;
         }
         forecastValid = false;
-        if (sameRun) {
+        if (sameIncarnation) {
             concurrencyLimit.recordPreemptions(load.preemptions() - last.load().preemptions());
         }
         concurrencyLimit.recordReport(load);
@@ -171,7 +171,7 @@
     }
 
     private long sentUntil(long nanos) {
-        long later = inFlight.stream().filter(f -> f.startNanos() - nanos > 0).count();
+        long later = inFlight.stream().filter(d -> d.startNanos() - nanos > 0).count();
         return sentCount - later;
     }
 
@@ -255,7 +255,8 @@
         if (last == null || last.load().kvCapacityTokens() == 0) {
             return ownTokens + peerTokens;
         }
-        // Requests that wait at the target do not hold memory yet, and the change since the report does not include it.
+        // Requests that wait at the target hold no memory yet, and the change since the report does not add their
+        // prompts.
         double waiting = last.load().waiting() * meanPrompt;
         long change = ownTokens
                 - last.loadAtCreation().ownTokens()
--- a/core/src/main/java/org/verbenatally/policy/TargetTable.java
+++ b/core/src/main/java/org/verbenatally/policy/TargetTable.java
@@ -32,7 +32,7 @@
 public final class TargetTable {
     /** Age, in milliseconds, that is assumed for a report with an implausible timestamp. */
     private static final long ASSUMED_AGE_MS = 1000;
-    /** Largest plausible age of a report, in milliseconds; if it appears older, its clock is wrong. */
+    /** Largest plausible age of a report, in milliseconds; if it appears older, the clock of its target is wrong. */
     private static final long MAX_AGE_MS = 30_000;
     /** Largest plausible count in a report. */
     private static final int MAX_COUNT = 1_000_000;
--- a/core/src/main/java/org/verbenatally/policy/UrgencyAdmission.java
+++ b/core/src/main/java/org/verbenatally/policy/UrgencyAdmission.java
@@ -43,7 +43,7 @@
         return new Queue();
     }
 
-    /** Returns the longest wait after which the response is still of use. */
+    /** Returns the longest wait after which the response is still useful. */
     private static Duration maxWait(Kind kind, Duration remainingTime) {
         boolean high = kind.value() == Value.HIGH;
         Duration limit = kind.urgency() == Urgency.URGENT
--- a/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
+++ b/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * Guards against entries that forever report a target to each other as leaving after it has restarted under the same
-     * id.
+     * Guards against entries that forever report a target to each other as leaving after it has restarted under the
+     * same id.
      */
     @Test
     void restartedTargetGetsWorkAgainOncePeersNoLongerReportItLeaving() {
