--- a/core/src/test/java/org/verbenatally/policy/RetryBudgetTest.java
+++ b/core/src/test/java/org/verbenatally/policy/RetryBudgetTest.java
@@ -19,19 +19,19 @@
     void retriesNeverExceedTheShareOfSuccesses(
             @ForAll List<Boolean> retries,
             @ForAll @DoubleRange(min = 0, max = 1) double share,
-            @ForAll @IntRange(min = 1, max = 20) int bound) {
-        RetryBudget budget = new RetryBudget(share, bound);
+            @ForAll @IntRange(min = 1, max = 20) int maxRetries) {
+        RetryBudget budget = new RetryBudget(share, maxRetries);
         int successes = 0;
         int granted = 0;
         for (boolean retry : retries) {
             if (retry) {
-                granted += budget.tryRetry() ? 1 : 0;
+                granted += budget.tryWithdraw() ? 1 : 0;
             } else {
-                budget.success();
+                budget.deposit();
                 successes++;
             }
-            assertThat(budget.available()).isBetween(0L, (long) bound);
-            assertThat(granted).isLessThanOrEqualTo((int) (bound + (share + 0.001) * successes));
+            assertThat(budget.available()).isBetween(0L, (long) maxRetries);
+            assertThat(granted).isLessThanOrEqualTo((int) (maxRetries + (share + 0.001) * successes));
         }
     }
 
@@ -40,13 +40,13 @@
         private final RetryBudget budget = new RetryBudget(1, 2);
 
         @Operation
-        public void success() {
-            budget.success();
+        public void deposit() {
+            budget.deposit();
         }
 
         @Operation
-        public boolean tryRetry() {
-            return budget.tryRetry();
+        public boolean tryWithdraw() {
+            return budget.tryWithdraw();
         }
 
         @Operation
