--- a/entry/src/main/java/org/verbenatally/entry/caller/AsyncAnswer.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/AsyncResponse.java
@@ -3,40 +3,40 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.core.GenerationId;
 
-/** Answers with the stream's address once the generation has started; the caller reads the tokens there. */
-final class AsyncAnswer implements Answer {
+/** Responds with the stream's address once the generation has started; the caller reads the tokens there. */
+final class AsyncResponse implements CallerResponse {
     private static final int ACCEPTED = 202;
 
     private final Exchange exchange;
-    private boolean answered;
+    private boolean responseSent;
 
-    AsyncAnswer(Exchange exchange) {
+    AsyncResponse(Exchange exchange) {
         this.exchange = exchange;
     }
 
     @Override
-    public void started(GenerationId generation, String stream) {
-        answered = true;
+    public void onStarted(GenerationId generation, String streamToken) {
+        responseSent = true;
         exchange.response()
                 .setStatusCode(ACCEPTED)
-                .putHeader("Location", "/v1/streams/" + stream)
+                .putHeader("Location", "/v1/streams/" + streamToken)
                 .putHeader("Generation", generation.value())
                 .putHeader("Request-Id", exchange.id())
                 .putHeader("Content-Type", "application/json")
                 .end(new JsonObject()
                         .put("request", exchange.id())
                         .put("generation", generation.value())
-                        .put("stream", stream)
+                        .put("stream", streamToken)
                         .toBuffer());
     }
 
     @Override
-    public void token(long offset, String text) {
+    public void onToken(long offset, String text) {
         // The engine keeps the tokens until the caller attaches to the stream.
     }
 
     @Override
-    public void end(long tokens) {
+    public void onEnd(long tokens) {
         // The engine keeps the tokens of a finished generation for a minute.
     }
 
@@ -47,27 +47,27 @@
 
     @Override
     public void reconnect() {
-        // No connection of a caller is open.
+        // The response is complete, so there is no connection to close.
     }
 
-    /** After the answer the generation is fixed: its address has been given out. */
+    /** Returns whether the response has been sent: the caller then has the address of this generation. */
     @Override
-    public boolean delivered() {
-        return answered;
+    public boolean hasDelivered() {
+        return responseSent;
     }
 
     @Override
-    public boolean resumable() {
-        return answered;
+    public boolean isResumable() {
+        return responseSent;
     }
 
     @Override
-    public boolean gone() {
-        return answered;
+    public boolean isDisconnected() {
+        return responseSent;
     }
 
     @Override
-    public void onGone(Runnable task) {
-        // The run itself starts its waiting time after the answer.
+    public void onDisconnect(Runnable task) {
+        // The run itself starts a timeout for the caller's first read once the response has been sent.
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/Authenticator.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/Authenticator.java
@@ -29,7 +29,7 @@
     /**
      * Returns the organisation whose credential the request carries.
      *
-     * @throws ProblemException if there is none
+     * @throws ProblemException if the credential is missing or wrong, or the entry has no configuration yet
      */
     Organisation authenticate(HttpServerRequest request) {
         Deployment deployment = config.deployment()
@@ -38,10 +38,12 @@
         Optional<Organisation> organisation = organisation(deployment, request.getHeader("Organisation"));
         String header = request.getHeader("Authorization");
         boolean hasScheme = header != null && header.regionMatches(true, 0, SCHEME, 0, SCHEME.length());
-        byte[] offered = sha256(hasScheme ? header.substring(SCHEME.length()).trim() : "");
-        // An unknown organisation takes the same time as a wrong credential.
-        boolean matches =
-                organisation.map(o -> o.matches(offered)).orElseGet(() -> MessageDigest.isEqual(NO_DIGEST, offered));
+        byte[] offeredDigest =
+                sha256(hasScheme ? header.substring(SCHEME.length()).trim() : "");
+        // Compare digests for an unknown organisation too, so that it takes as long as a wrong credential.
+        boolean matches = organisation
+                .map(o -> o.matches(offeredDigest))
+                .orElseGet(() -> MessageDigest.isEqual(NO_DIGEST, offeredDigest));
         if (!hasScheme || !matches || organisation.isEmpty()) {
             request.response().putHeader("WWW-Authenticate", "Bearer");
             throw new ProblemException(Problem.refused(
@@ -65,7 +67,7 @@
         try {
             return MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("the platform must provide SHA-256", e);
+            throw new IllegalStateException("the Java platform must provide SHA-256", e);
         }
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerParts.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerComponents.java
@@ -19,23 +19,23 @@
 import org.verbenatally.time.TimerService;
 
 /**
- * The parts of the entry process that the callers' interface uses.
+ * The components of the entry process that the callers' HTTP interface uses.
  *
  * @param timer timer service
  * @param config configuration in force
  * @param dispatcher admission, queueing and routing
- * @param targets what this entry knows of the targets
- * @param suspects requests that may crash targets
- * @param clients clients of targets
- * @param loads reads load reports
- * @param peers links to other entries
- * @param streamTokens writes and checks stream tokens
+ * @param targets state of the targets
+ * @param suspects requests suspected of crashing targets
+ * @param clients clients of the targets
+ * @param loads polls the targets' load reports
+ * @param peers links to the other entries
+ * @param streamTokens signs and verifies stream tokens
  * @param metrics metrics
- * @param log traces of the latest requests
+ * @param log traces of recent requests
  * @param limits limits of each organisation
- * @param runs engine requests served now
+ * @param runs engine requests that are being served
  */
-record CallerParts(
+record CallerComponents(
         TimerService timer,
         ConfigHolder<Deployment> config,
         Dispatcher dispatcher,
@@ -50,18 +50,18 @@
         OrganisationLimits limits,
         LiveRuns runs) {
 
-    CallerParts {
+    CallerComponents {
         Objects.requireNonNull(timer, "timer");
         Objects.requireNonNull(config, "config");
     }
 
-    /** Returns a target of the deployment in force. */
+    /** Returns a target of the deployment in force, or empty if it has none with this id. */
     Optional<Target> target(TargetId id) {
         return config.deployment().map(deployment -> deployment.targets().get(id));
     }
 
-    /** Returns the number of targets of the type that runs the kind, at least one. */
-    int enginesFor(Kind kind) {
+    /** Returns the number of targets of the type that runs the kind and that are not leaving; at least 1. */
+    int targetCount(Kind kind) {
         return config.deployment()
                 .map(deployment -> (int) deployment.targets().values().stream()
                         .filter(target -> target.type() == kind.runsOn() && !target.leaving())
@@ -70,8 +70,8 @@
                 .orElse(1);
     }
 
-    /** Gives a target no new work from now on and tells the peers at once. */
-    void targetLeaving(TargetId target) {
+    /** Marks a target as leaving, so that it receives no new work, and notifies the peers immediately. */
+    void markLeaving(TargetId target) {
         targets.markLeaving(target);
         peers.push();
     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerHandler.java
@@ -14,7 +14,7 @@
 import org.verbenatally.core.StepException;
 import org.verbenatally.entry.key.KeyedCalls;
 
-/** Dispatches the requests of callers. Each request is handled by one virtual-thread task. */
+/** Dispatches callers' requests by path and method. Each request is handled by one virtual-thread task. */
 final class CallerHandler {
     private static final Logger LOG = Logger.getLogger(CallerHandler.class);
     private static final int NOT_FOUND = 404;
@@ -25,22 +25,22 @@
     private static final String STREAMS = "/v1/streams/";
     private static final String KEYS = "/v1/keys/";
 
-    private final CallerParts parts;
-    private final BooleanSupplier accepts;
+    private final CallerComponents components;
+    private final BooleanSupplier acceptsNewWork;
     private final Authenticator authenticator;
-    private final WorkHandler work;
-    private final StreamHandler streams;
+    private final WorkHandler workHandler;
+    private final StreamHandler streamHandler;
 
-    CallerHandler(CallerParts parts, KeyedCalls keyedCalls, Vertx vertx, BooleanSupplier accepts) {
-        this.parts = Objects.requireNonNull(parts, "parts");
-        this.accepts = Objects.requireNonNull(accepts, "accepts");
-        this.authenticator = new Authenticator(parts.config());
-        this.work = new WorkHandler(parts, keyedCalls, vertx);
-        this.streams = new StreamHandler(parts, vertx);
+    CallerHandler(CallerComponents components, KeyedCalls keyedCalls, Vertx vertx, BooleanSupplier acceptsNewWork) {
+        this.components = Objects.requireNonNull(components, "components");
+        this.acceptsNewWork = Objects.requireNonNull(acceptsNewWork, "acceptsNewWork");
+        this.authenticator = new Authenticator(components.config());
+        this.workHandler = new WorkHandler(components, keyedCalls, vertx);
+        this.streamHandler = new StreamHandler(components, vertx);
     }
 
     void handle(HttpServerRequest request) {
-        Exchange exchange = new Exchange(request, parts.timer().nanos());
+        Exchange exchange = new Exchange(request, components.timer().nanos());
         try {
             exchange.checkId();
             dispatch(exchange);
@@ -55,7 +55,7 @@
             LOG.errorf(e, "caller: request %s failed with an internal error", exchange.id());
             fail(exchange, internalError());
         } catch (Exception e) {
-            // Future.await throws the checked exceptions of a lost connection undeclared.
+            // Future.await throws the checked exceptions of a lost connection without declaring them.
             LOG.debugf("caller: request %s ended with its connection: %s", exchange.id(), e.getMessage());
             fail(exchange, internalError());
         }
@@ -67,7 +67,7 @@
     }
 
     private void fail(Exchange exchange, Problem problem) {
-        parts.metrics().failed(problem.step());
+        components.metrics().failed(problem.step());
         try {
             exchange.fail(problem);
         } catch (RuntimeException e) {
@@ -80,7 +80,7 @@
         if (path == null) {
             throw notFound();
         }
-        boolean stopping = !accepts.getAsBoolean();
+        boolean stopping = !acceptsNewWork.getAsBoolean();
         if (stopping) {
             exchange.response().putHeader("Connection", "close");
         }
@@ -89,37 +89,43 @@
                     Problem.refused(UNAVAILABLE, "stopping", Step.ACCEPT, "this entry accepts no new work")
                             .withRetryAfter(Duration.ofMillis(200)));
         }
-        exchange.organisation(authenticator.authenticate(exchange.request()));
-        try (OrganisationLimits.Place place =
-                parts.limits().enter(exchange.organisation(), exchange.startNanos(), !path.startsWith(STREAMS))) {
+        exchange.setOrganisation(authenticator.authenticate(exchange.request()));
+        try (OrganisationLimits.Slot slot = components
+                .limits()
+                .acquire(exchange.organisation(), exchange.startNanos(), !path.startsWith(STREAMS))) {
             if (path.startsWith(WORK)) {
                 require(exchange, HttpMethod.POST);
-                work.work(exchange, path.substring(WORK.length()));
+                workHandler.handleWork(exchange, path.substring(WORK.length()));
             } else if (path.startsWith(KEYS)) {
                 require(exchange, HttpMethod.POST);
-                work.issueKey(exchange, path.substring(KEYS.length()));
+                workHandler.issueKey(exchange, path.substring(KEYS.length()));
             } else if (path.equals("/v1/completions")) {
                 require(exchange, HttpMethod.POST);
-                work.completion(exchange);
+                workHandler.handleCompletion(exchange);
             } else if (path.startsWith(STREAMS)) {
-                streams(exchange, path.substring(STREAMS.length()));
+                dispatchStream(exchange, path.substring(STREAMS.length()));
             } else {
                 throw notFound();
             }
         }
     }
 
-    /** A call with a key is answered to the end: an earlier copy may have run, which only the key's owner can tell. */
+    /**
+     * Returns whether the request is a call with an idempotency key. Such a call is handled even while this entry is
+     * stopping: an earlier request with the key may have run, and only the key's owner knows.
+     */
     private boolean isKeyed(Exchange exchange, String path) {
-        return path.startsWith(WORK) && exchange.hasKey() && work.needsKey(path.substring(WORK.length()));
+        return path.startsWith(WORK)
+                && exchange.hasIdempotencyKey()
+                && workHandler.needsKey(path.substring(WORK.length()));
     }
 
-    private void streams(Exchange exchange, String token) {
+    private void dispatchStream(Exchange exchange, String token) {
         if (exchange.request().method().equals(HttpMethod.GET)) {
-            streams.resume(exchange, token);
+            streamHandler.resume(exchange, token);
         } else {
             require(exchange, HttpMethod.DELETE);
-            streams.cancel(exchange, token);
+            streamHandler.cancel(exchange, token);
         }
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
@@ -31,21 +31,21 @@
 import org.verbenatally.settings.ListenerSettings;
 import org.verbenatally.time.TimerService;
 
-/** The callers' HTTP server. */
+/** The HTTP server for callers. */
 public final class CallerServer {
-    /** Verticles that share the port; each runs its requests on one context. */
+    /** Maximum number of verticles that share the port; each runs its requests on one context. */
     private static final int MAX_VERTICLES = 4;
 
     private static final int MAX_HEADER_BYTES = 8_192;
-    private static final Duration TLS_CHECK = Duration.ofSeconds(10);
-    private static final int MAX_LINE_BYTES = 4_096;
+    private static final Duration TLS_CHECK_PERIOD = Duration.ofSeconds(10);
+    private static final int MAX_REQUEST_LINE_BYTES = 4_096;
 
     private final Vertx vertx;
-    private final CallerParts parts;
+    private final CallerComponents components;
     private final KeyedCalls keyedCalls;
     private final AtomicReference<Phase> phase = new AtomicReference<>(Phase.SERVING);
-    private final AtomicInteger open = new AtomicInteger();
-    private final IdleConnections idle = new IdleConnections();
+    private final AtomicInteger openRequests = new AtomicInteger();
+    private final IdleConnections idleConnections = new IdleConnections();
     private volatile int port;
 
     private enum Phase {
@@ -54,22 +54,22 @@
     }
 
     /**
-     * Creates a server that does not listen yet.
+     * Creates a server that is not listening yet.
      *
-     * @param vertx runs the tasks
-     * @param context context of a virtual-thread verticle; runs keyed calls
+     * @param vertx runs the verticles and timers
+     * @param context context of a virtual-thread verticle; runs calls with idempotency keys
      * @param timer timer service
      * @param config configuration in force
      * @param dispatcher admission and routing
-     * @param targets target table
-     * @param suspects suspect table
-     * @param clients clients of targets
-     * @param loads reads load reports
+     * @param targets state of the targets
+     * @param suspects requests suspected of crashing targets
+     * @param clients clients of the targets
+     * @param loads polls the targets' load reports
      * @param issuer issues idempotency keys
-     * @param peers links to other entries
-     * @param streamKeys secrets that sign stream tokens, the newest first
+     * @param peers links to the other entries
+     * @param streamKeys secrets that sign stream tokens, newest first
      * @param metrics metrics
-     * @param log traces of the latest requests
+     * @param log traces of recent requests
      */
     public CallerServer(
             Vertx vertx,
@@ -87,7 +87,7 @@
             EntryMetrics metrics,
             RequestLog log) {
         this.vertx = Objects.requireNonNull(vertx, "vertx");
-        this.parts = new CallerParts(
+        this.components = new CallerComponents(
                 timer,
                 config,
                 dispatcher,
@@ -101,29 +101,31 @@
                 log,
                 new OrganisationLimits(),
                 new LiveRuns());
-        CallRunner runner = new ServiceCalls(parts, context);
+        CallRunner runner = new ServiceCalls(components, context);
         this.keyedCalls = new KeyedCalls(issuer, runner, peers, timer);
-        metrics.gauge("verbenatally.open.requests", open::get);
-        metrics.gauge("verbenatally.open.generations", () -> parts.runs().count());
+        metrics.gauge("verbenatally.open.requests", openRequests::get);
+        metrics.gauge("verbenatally.open.generations", () -> components.runs().count());
         metrics.gauge("verbenatally.used.keys", () -> keyedCalls.store().used());
-        metrics.gauge("verbenatally.connections", idle::count);
-        timer.every(Duration.ofSeconds(5), tick -> idle.closeIdle());
+        metrics.gauge("verbenatally.connections", idleConnections::count);
+        timer.every(Duration.ofSeconds(5), tick -> idleConnections.closeIdle());
         timer.every(
                 Duration.ofMinutes(1),
                 tick -> config.deployment()
-                        .ifPresent(d -> parts.limits().retain(d.organisations().keySet())));
+                        .ifPresent(d ->
+                                components.limits().retain(d.organisations().keySet())));
     }
 
-    /** Returns the calls with idempotency keys. */
+    /** Returns the handler of calls with idempotency keys. */
     public KeyedCalls keyedCalls() {
         return keyedCalls;
     }
 
-    /** Starts to listen; completes with the port. */
+    /** Starts listening; completes with the port, which the system chooses if the settings name port 0. */
     public Future<Integer> listen(ListenerSettings settings) {
         Optional<CallerTls> tls = Optional.ofNullable(settings.getTls()).map(CallerTls::new);
-        tls.ifPresent(t ->
-                parts.timer().every(TLS_CHECK, tick -> Thread.ofVirtual().start(t::reloadIfChanged)));
+        tls.ifPresent(t -> components
+                .timer()
+                .every(TLS_CHECK_PERIOD, tick -> Thread.ofVirtual().start(t::reloadIfChanged)));
         int verticles = Math.clamp(Runtime.getRuntime().availableProcessors(), 1, MAX_VERTICLES);
         DeploymentOptions options = new DeploymentOptions()
                 .setThreadingModel(ThreadingModel.VIRTUAL_THREAD)
@@ -142,53 +144,54 @@
 
         @Override
         public Future<?> start() {
-            CallerHandler handler = new CallerHandler(parts, keyedCalls, vertx, () -> phase.get() == Phase.SERVING);
-            HttpServerOptions options = options();
+            CallerHandler handler =
+                    new CallerHandler(components, keyedCalls, vertx, () -> phase.get() == Phase.SERVING);
+            HttpServerOptions options = httpOptions();
             tls.ifPresent(t -> t.apply(options));
             HttpServer server = vertx.createHttpServer(options);
-            tls.ifPresent(t -> t.add(server));
-            server.connectionHandler(idle::opened);
+            tls.ifPresent(t -> t.addServer(server));
+            server.connectionHandler(idleConnections::onOpened);
             server.requestHandler(request -> {
-                open.incrementAndGet();
-                idle.begin(request.connection());
+                openRequests.incrementAndGet();
+                idleConnections.onRequestStart(request.connection());
                 try {
                     handler.handle(request);
                 } finally {
-                    idle.end(request.connection());
-                    open.decrementAndGet();
+                    idleConnections.onRequestEnd(request.connection());
+                    openRequests.decrementAndGet();
                 }
             });
-            // A negative port is a free one that all instances of the verticle share.
-            int wanted = settings.getPort() == 0 ? -1 : settings.getPort();
-            return server.listen(wanted, settings.getHost()).onSuccess(s -> port = s.actualPort());
+            // Vert.x reads a negative port as one free port that all instances of the verticle share.
+            int listenPort = settings.getPort() == 0 ? -1 : settings.getPort();
+            return server.listen(listenPort, settings.getHost()).onSuccess(s -> port = s.actualPort());
         }
     }
 
-    private static HttpServerOptions options() {
+    private static HttpServerOptions httpOptions() {
         return new HttpServerOptions()
                 .setMaxHeaderSize(MAX_HEADER_BYTES)
-                .setMaxInitialLineLength(MAX_LINE_BYTES)
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
                 .setMaxFormAttributeSize(0)
                 .setTcpNoDelay(true);
     }
 
-    /** Returns the requests that are open now. */
+    /** Returns the number of requests that are open now. */
     public int open() {
-        return open.get();
+        return openRequests.get();
     }
 
-    /** Returns the generations that are open now. */
+    /** Returns the number of generations that are open now. */
     public int generations() {
-        return parts.runs().count();
+        return components.runs().count();
     }
 
-    /** Refuses new requests from now on. */
+    /** Refuses new work from now on; calls with idempotency keys are still handled. */
     public void refuse() {
         phase.set(Phase.REFUSING);
     }
 
-    /** Ends the connections of open streams, so that their callers resume at another entry. */
+    /** Closes the connections of open streams, so that their callers resume at another entry. */
     public void reconnectAll() {
-        parts.runs().stopAll(EngineRun.Stop.RECONNECT);
+        components.runs().stopAll(EngineRun.StopReason.RECONNECT);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerTls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerTls.java
@@ -18,63 +18,64 @@
 import org.jboss.logging.Logger;
 import org.verbenatally.settings.TlsSettings;
 
-/** TLS of the callers' listener. Changed files are read again, so certificates are renewed without a restart. */
+/** TLS of the callers' listener. Changed files are reloaded, so certificates can be renewed without a restart. */
 final class CallerTls {
     private static final Logger LOG = Logger.getLogger(CallerTls.class);
 
     private final TlsSettings settings;
     private final List<HttpServer> servers = new ArrayList<>();
-    private List<FileTime> loaded;
+    private List<FileTime> loadedTimes;
 
     CallerTls(TlsSettings settings) {
         this.settings = Objects.requireNonNull(settings, "settings");
-        this.loaded = times();
+        this.loadedTimes = modificationTimes();
     }
 
-    /** Adds key, certificate and accepted issuers to the options of a server. */
+    /** Adds the key, the certificate and the accepted issuers to the options of a server. */
     HttpServerOptions apply(HttpServerOptions options) {
-        options.setSsl(true).setKeyCertOptions(key());
+        options.setSsl(true).setKeyCertOptions(keyCertOptions());
         if (settings.getTrustFile() != null) {
-            options.setClientAuth(ClientAuth.REQUIRED).setTrustOptions(trust());
+            options.setClientAuth(ClientAuth.REQUIRED).setTrustOptions(trustOptions());
         }
         return options;
     }
 
-    synchronized void add(HttpServer server) {
+    /** Registers a server that takes reloaded certificates. */
+    synchronized void addServer(HttpServer server) {
         servers.add(server);
     }
 
-    /** Takes the files again if one has changed; after a fault the former ones stay in use. */
+    /** Reloads the files if one has changed. If they cannot be read or used, the previous ones stay in use. */
     synchronized void reloadIfChanged() {
-        List<FileTime> now = times();
-        if (now.equals(loaded)) {
+        List<FileTime> now = modificationTimes();
+        if (now.equals(loadedTimes)) {
             return;
         }
-        loaded = now;
+        loadedTimes = now;
         try {
-            ServerSSLOptions options = new ServerSSLOptions().setKeyCertOptions(key());
+            ServerSSLOptions options = new ServerSSLOptions().setKeyCertOptions(keyCertOptions());
             if (settings.getTrustFile() != null) {
-                options.setClientAuth(ClientAuth.REQUIRED).setTrustOptions(trust());
+                options.setClientAuth(ClientAuth.REQUIRED).setTrustOptions(trustOptions());
             }
             servers.forEach(server -> server.updateSSLOptions(options)
-                    .onSuccess(updated -> LOG.info("caller: the certificate was read again"))
+                    .onSuccess(updated -> LOG.info("caller: the certificate was reloaded"))
                     .onFailure(e -> LOG.warnf("caller: the new certificate cannot be used: %s", e.getMessage())));
         } catch (IllegalArgumentException e) {
             LOG.warnf("caller: the new certificate cannot be read: %s", e.getMessage());
         }
     }
 
-    private PemKeyCertOptions key() {
+    private PemKeyCertOptions keyCertOptions() {
         return new PemKeyCertOptions()
-                .addKeyValue(content(settings.getKeyFile()))
-                .addCertValue(content(settings.getCertificateFile()));
+                .addKeyValue(read(settings.getKeyFile()))
+                .addCertValue(read(settings.getCertificateFile()));
     }
 
-    private PemTrustOptions trust() {
-        return new PemTrustOptions().addCertValue(content(settings.getTrustFile()));
+    private PemTrustOptions trustOptions() {
+        return new PemTrustOptions().addCertValue(read(settings.getTrustFile()));
     }
 
-    private static Buffer content(String file) {
+    private static Buffer read(String file) {
         try {
             return Buffer.buffer(Files.readAllBytes(Path.of(file)));
         } catch (IOException e) {
@@ -82,21 +83,21 @@
         }
     }
 
-    private List<FileTime> times() {
+    private List<FileTime> modificationTimes() {
         List<FileTime> times = new ArrayList<>();
-        times.add(time(settings.getKeyFile()));
-        times.add(time(settings.getCertificateFile()));
+        times.add(modificationTime(settings.getKeyFile()));
+        times.add(modificationTime(settings.getCertificateFile()));
         if (settings.getTrustFile() != null) {
-            times.add(time(settings.getTrustFile()));
+            times.add(modificationTime(settings.getTrustFile()));
         }
         return times;
     }
 
-    private static FileTime time(String file) {
+    private static FileTime modificationTime(String file) {
         try {
             return Files.getLastModifiedTime(Path.of(file));
         } catch (IOException e) {
-            // A missing file may be in the middle of a replacement.
+            // The file may be missing because it is being replaced.
             return FileTime.fromMillis(0);
         }
     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/Completion.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CompletionFormat.java
@@ -4,18 +4,19 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * The usual completion-style form of answers.
+ * Formats responses in the usual completion style, as one object or as events.
  *
  * @param id id of the request
  * @param model the model
  */
-record Completion(String id, String model) implements StreamAnswer.Form {
+record CompletionFormat(String id, String model) implements StreamResponse.EventFormat {
 
-    JsonObject whole(String text, long tokens) {
+    /** Returns the body of a complete response. */
+    JsonObject body(String text, long tokens) {
         return chunk(text, "stop").put("usage", new JsonObject().put("completion_tokens", tokens));
     }
 
-    private JsonObject chunk(String text, String finish) {
+    private JsonObject chunk(String text, String finishReason) {
         return new JsonObject()
                 .put("id", id)
                 .put("object", "text_completion")
@@ -26,17 +27,18 @@
                                 .add(new JsonObject()
                                         .put("index", 0)
                                         .put("text", text)
-                                        .put("finish_reason", finish)));
+                                        .put("finish_reason", finishReason)));
     }
 
     @Override
-    public String start(String request, String generation, String stream) {
+    public String start(String requestId, String generation, String streamToken) {
         return "";
     }
 
     @Override
-    public String token(String stream, long offset, String text) {
-        return "id: " + stream + ':' + offset + "\ndata: " + chunk(text, null).encode() + "\n\n";
+    public String token(String streamToken, long offset, String text) {
+        return "id: " + streamToken + ':' + offset + "\ndata: "
+                + chunk(text, null).encode() + "\n\n";
     }
 
     @Override
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -29,48 +29,55 @@
 import org.verbenatally.policy.WorkRequest;
 
 /**
- * One engine request from admission to the last token: one or more attempts, each with its own generation, of which
- * only the last may deliver tokens. One virtual-thread task runs it; {@link #stop} may be called from any thread.
+ * Runs one engine request from admission to the last token: one or more attempts, each with its own generation. Only
+ * the last attempt may deliver tokens. One virtual-thread task runs it; {@link #stop} may be called from any thread.
  */
 final class EngineRun {
-    /** Time for a caller that lost its connection to resume at some entry. */
-    private static final Duration ABSENCE = Duration.ofSeconds(10);
-    /** Time for the first read of a stream whose address was given out with status 202. */
-    private static final Duration FIRST_READ = Duration.ofSeconds(25);
+    /** Time within which a caller that lost its connection may resume at any entry before the run is abandoned. */
+    private static final Duration RESUME_TIMEOUT = Duration.ofSeconds(10);
+    /** Time within which a caller must first read a stream whose address was returned with status 202. */
+    private static final Duration FIRST_READ_TIMEOUT = Duration.ofSeconds(25);
 
-    /** Time without an answer after which a stream's head is sent, so that keep-alives can follow. */
-    private static final Duration EARLY_HEAD = Duration.ofSeconds(1);
+    /** Time after which the response head of a stream is sent even without a token, so that keep-alives can follow. */
+    private static final Duration EARLY_HEAD_DELAY = Duration.ofSeconds(1);
 
-    private final CallerParts parts;
+    private final CallerComponents components;
     private final Exchange exchange;
-    private final Answer answer;
-    private final Work work;
+    private final CallerResponse response;
+    private final GenerationRequest request;
     private final Vertx vertx;
     private final Context context;
-    private final Delivery delivery;
-    private Stop stop;
+    private final TokenLatency tokenLatency;
+    private StopReason stopReason;
     private EngineStream stream;
-    private CompletableFuture<Flight> waiting;
+    private CompletableFuture<Flight> acquisition;
     private boolean mayHaveRun;
-    private long timer = -1;
-    private long early = -1;
+    private long deadlineTimer = -1;
+    private long earlyHeadTimer = -1;
 
-    /** Why a run ends before its generation. */
-    enum Stop {
-        /** The caller went away and did not come back. */
+    /** Why a run ends before its generation does. */
+    enum StopReason {
+        /** The caller disconnected and did not resume. */
         ABANDONED,
         /** The caller cancelled the stream. */
         CANCELLED,
         /** The deadline passed. */
         DEADLINE,
-        /** The caller reads the generation on another connection. */
+        /** The caller now reads the generation on another connection. */
         SUPERSEDED,
-        /** This entry stops; the caller is to resume elsewhere. */
+        /** This entry is stopping; the caller should resume at another entry. */
         RECONNECT
     }
 
-    /** How one attempt ended. */
-    private record Attempt(FlightEnd end, Optional<Problem> problem, boolean byteMayHaveLeft, boolean last) {
+    /**
+     * How one attempt ended.
+     *
+     * @param end how it counts for the target
+     * @param problem what failed; empty if the response needs no problem document
+     * @param mayHaveRun whether the engine may have started the generation
+     * @param last whether no further attempt may follow
+     */
+    private record Attempt(FlightEnd end, Optional<Problem> problem, boolean mayHaveRun, boolean last) {
         static Attempt done() {
             return new Attempt(FlightEnd.DONE, Optional.empty(), true, true);
         }
@@ -80,186 +87,194 @@
         }
     }
 
-    EngineRun(CallerParts parts, Vertx vertx, Exchange exchange, Answer answer, Work work) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+    EngineRun(
+            CallerComponents components,
+            Vertx vertx,
+            Exchange exchange,
+            CallerResponse response,
+            GenerationRequest request) {
+        this.components = Objects.requireNonNull(components, "components");
         this.vertx = Objects.requireNonNull(vertx, "vertx");
         this.context = vertx.getOrCreateContext();
         this.exchange = Objects.requireNonNull(exchange, "exchange");
-        this.answer = Objects.requireNonNull(answer, "answer");
-        this.work = Objects.requireNonNull(work, "work");
-        EntryMetrics.TokenMeters meters = parts.metrics().tokens(work.kind().name());
-        this.delivery = new Delivery(meters, work.startNanos(), parts.config().deployment());
+        this.response = Objects.requireNonNull(response, "response");
+        this.request = Objects.requireNonNull(request, "request");
+        EntryMetrics.TokenMeters meters =
+                components.metrics().tokens(request.kind().name());
+        this.tokenLatency = new TokenLatency(
+                meters, request.startNanos(), components.config().deployment());
     }
 
-    /** Runs the request until the answer is complete or has failed. */
+    /** Runs the request until the response is complete or has failed. */
     void run() {
         begin();
         try {
-            attempts();
+            runAttempts();
         } finally {
             finish();
         }
     }
 
-    /** Delivers the rest of a generation to which a new attachment was made. */
-    void follow(Target target, GenerationId generation, TokenFeed feed, long from) {
+    /** Delivers the rest of a generation, from offset {@code from}, over a new attachment to it. */
+    void resume(Target target, GenerationId generation, TokenFeed feed, long from) {
         begin();
         try {
             EngineStream opened = open(target, generation, feed, from);
-            answer.started(generation, token(target.id(), generation));
+            response.onStarted(generation, streamToken(target.id(), generation));
             Attempt attempt = deliver(opened, Optional.empty());
-            attempt.problem().ifPresent(this::failed);
+            attempt.problem().ifPresent(this::fail);
         } finally {
             finish();
         }
     }
 
     private void begin() {
-        parts.runs().add(this);
-        long left = work.deadlineNanos() - parts.timer().nanos();
-        timer = vertx.setTimer(Math.max(1, left / 1_000_000), id -> stop(Stop.DEADLINE));
-        early = vertx.setTimer(EARLY_HEAD.toMillis(), id -> openEarly());
-        answer.onGone(() -> context.runOnContext(v -> callerGone()));
+        components.runs().add(this);
+        long remainingNanos = request.deadlineNanos() - components.timer().nanos();
+        deadlineTimer = vertx.setTimer(Math.max(1, remainingNanos / 1_000_000), id -> stop(StopReason.DEADLINE));
+        earlyHeadTimer = vertx.setTimer(EARLY_HEAD_DELAY.toMillis(), id -> sendEarlyHead());
+        response.onDisconnect(() -> context.runOnContext(v -> onCallerDisconnect()));
     }
 
     private void finish() {
-        vertx.cancelTimer(timer);
-        vertx.cancelTimer(early);
-        parts.runs().remove(this);
+        vertx.cancelTimer(deadlineTimer);
+        vertx.cancelTimer(earlyHeadTimer);
+        components.runs().remove(this);
     }
 
-    private void callerGone() {
-        exchange.note("the caller went away");
-        if (answer.resumable()) {
-            vertx.setTimer(ABSENCE.toMillis(), id -> stop(Stop.ABANDONED));
+    private void onCallerDisconnect() {
+        exchange.note("the caller disconnected");
+        if (response.isResumable()) {
+            vertx.setTimer(RESUME_TIMEOUT.toMillis(), id -> stop(StopReason.ABANDONED));
         } else {
-            stop(Stop.ABANDONED);
+            stop(StopReason.ABANDONED);
         }
     }
 
-    /** Ends the run; the first reason counts. */
-    void stop(Stop reason) {
-        EngineStream open;
-        CompletableFuture<Flight> queued;
+    /** Ends the run. Only the first call has an effect. */
+    void stop(StopReason reason) {
+        EngineStream openStream;
+        CompletableFuture<Flight> pending;
         synchronized (this) {
-            if (stop != null) {
+            if (stopReason != null) {
                 return;
             }
-            stop = reason;
-            open = stream;
-            queued = waiting;
+            stopReason = reason;
+            openStream = stream;
+            pending = acquisition;
         }
-        if (queued != null) {
-            queued.cancel(false);
+        if (pending != null) {
+            pending.cancel(false);
         }
-        if (open != null) {
-            open.close();
+        if (openStream != null) {
+            openStream.close();
         }
     }
 
-    private synchronized Optional<Stop> stopped() {
-        return Optional.ofNullable(stop);
+    private synchronized Optional<StopReason> stopReason() {
+        return Optional.ofNullable(stopReason);
     }
 
-    private void attempts() {
+    private void runAttempts() {
         Set<TargetId> exclude = new HashSet<>();
         int attempts = 0;
         while (true) {
             attempts++;
-            Optional<Flight> flight = acquire(exclude);
-            if (flight.isEmpty()) {
+            Optional<Flight> inFlight = acquire(exclude);
+            if (inFlight.isEmpty()) {
                 return;
             }
-            TargetId target = flight.get().target();
+            TargetId target = inFlight.get().target();
             exchange.note("attempt " + attempts + " on " + target);
-            Attempt attempt = attempt(flight.get());
-            flight.get().end(attempt.end());
+            Attempt attempt = runAttempt(inFlight.get());
+            inFlight.get().end(attempt.end());
             if (attempt.problem().isEmpty()) {
                 return;
             }
-            Optional<Duration> delay = attempt.last() || stopped().isPresent()
+            Optional<Duration> delay = attempt.last() || stopReason().isPresent()
                     ? Optional.empty()
-                    : parts.dispatcher().retries().decide(retryInput(target, attempt, attempts));
+                    : components.dispatcher().retries().decide(retryInput(target, attempt, attempts));
             if (delay.isEmpty()) {
-                failed(attempt.problem().get());
+                fail(attempt.problem().get());
                 return;
             }
             exchange.note("retry: " + attempt.problem().get().detail());
-            parts.metrics().retried(work.kind().name());
+            components.metrics().retried(request.kind().name());
             pause(delay.get());
             exclude.add(target);
-            if (exclude.size() >= parts.enginesFor(work.kind())) {
+            if (exclude.size() >= components.targetCount(request.kind())) {
                 exclude.clear();
             }
         }
     }
 
     private RetryInput retryInput(TargetId target, Attempt attempt, int attempts) {
-        boolean suspect = parts.suspects().check(work.fingerprint()) != SuspectTable.Verdict.CLEAR;
+        boolean suspect = components.suspects().check(request.fingerprint()) != SuspectTable.Verdict.CLEAR;
         return new RetryInput(
-                work.kind(),
-                work.organisation().id(),
+                request.kind(),
+                request.organisation().id(),
                 target,
                 attempt.end(),
                 attempts,
-                attempt.byteMayHaveLeft(),
-                answer.delivered(),
+                attempt.mayHaveRun(),
+                response.hasDelivered(),
                 suspect,
                 Duration.ofNanos(
-                        Math.max(0, work.deadlineNanos() - parts.timer().nanos())));
+                        Math.max(0, request.deadlineNanos() - components.timer().nanos())));
     }
 
     private Optional<Flight> acquire(Set<TargetId> exclude) {
-        if (parts.suspects().check(work.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
-            failed(RunProblems.quarantined());
+        if (components.suspects().check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
+            fail(RunProblems.quarantined());
             return Optional.empty();
         }
-        CompletableFuture<Flight> future = parts.dispatcher()
+        CompletableFuture<Flight> future = components
+                .dispatcher()
                 .acquire(new WorkRequest(
-                        work.kind(),
-                        work.organisation(),
-                        work.promptTokens(),
-                        work.prefixHash(),
-                        work.fingerprint(),
-                        work.deadlineNanos(),
+                        request.kind(),
+                        request.organisation(),
+                        request.promptTokens(),
+                        request.prefixHash(),
+                        request.fingerprint(),
+                        request.deadlineNanos(),
                         exclude));
         synchronized (this) {
-            waiting = future;
+            acquisition = future;
         }
-        if (stopped().isPresent()) {
+        if (stopReason().isPresent()) {
             future.cancel(false);
         }
         try {
-            Flight flight = Future.fromCompletionStage(future, context).await();
+            Flight inFlight = Future.fromCompletionStage(future, context).await();
             exchange.note("routed");
-            return Optional.of(flight);
+            return Optional.of(inFlight);
         } catch (StepException e) {
-            failed(Problem.of(e));
+            fail(Problem.of(e));
         } catch (CancellationException e) {
-            RunProblems.stoppedWhileWaiting(stopped().orElse(Stop.ABANDONED), mayHaveRun)
-                    .ifPresent(this::failed);
+            RunProblems.stoppedWhileQueued(stopReason().orElse(StopReason.ABANDONED), mayHaveRun)
+                    .ifPresent(this::fail);
         }
         return Optional.empty();
     }
 
-    private void openEarly() {
-        if (answer instanceof StreamAnswer streamed) {
+    private void sendEarlyHead() {
+        if (response instanceof StreamResponse streamed) {
             streamed.open();
         }
     }
 
-    private Attempt attempt(Flight flight) {
-        Optional<Target> target = parts.target(flight.target());
+    private Attempt runAttempt(Flight inFlight) {
+        Optional<Target> target = components.target(inFlight.target());
         if (target.isEmpty()) {
             return new Attempt(
                     FlightEnd.REFUSED,
-                    Optional.of(RunProblems.notRun(flight.target(), "the target was removed")),
+                    Optional.of(RunProblems.notRun(inFlight.target(), "the target was removed")),
                     false,
                     false);
         }
         GenerationId generation = GenerationId.random();
         TokenFeed feed;
-        switch (new EngineStarter(parts, work).start(target.get(), generation)) {
+        switch (new EngineStarter(components, request).start(target.get(), generation)) {
             case EngineStarter.Started started -> feed = started.feed();
             case EngineStarter.Failed failed -> {
                 return failedStart(target.get(), failed);
@@ -267,11 +282,11 @@
         }
         mayHaveRun = true;
         EngineStream opened = open(target.get(), generation, feed, 0);
-        answer.started(generation, token(target.get().id(), generation));
-        if (answer instanceof AsyncAnswer) {
-            vertx.setTimer(FIRST_READ.toMillis(), id -> stop(Stop.ABANDONED));
+        response.onStarted(generation, streamToken(target.get().id(), generation));
+        if (response instanceof AsyncResponse) {
+            vertx.setTimer(FIRST_READ_TIMEOUT.toMillis(), id -> stop(StopReason.ABANDONED));
         }
-        return deliver(opened, Optional.of(flight));
+        return deliver(opened, Optional.of(inFlight));
     }
 
     private Attempt failedStart(Target target, EngineStarter.Failed failed) {
@@ -283,66 +298,66 @@
     }
 
     private EngineStream open(Target target, GenerationId generation, TokenFeed feed, long from) {
-        Optional<Incarnation> known = parts.loads().incarnation(target.id());
+        Optional<Incarnation> incarnationBefore = components.loads().incarnation(target.id());
         EngineStream opened = new EngineStream(
                 vertx,
-                parts.clients().engines(),
+                components.clients().engines(),
                 target,
                 generation,
                 feed,
                 from,
-                work.maxTokens(),
-                () -> parts.loads().hasRestarted(target, known));
-        boolean close;
+                request.maxTokens(),
+                () -> components.loads().hasRestarted(target, incarnationBefore));
+        boolean alreadyStopped;
         synchronized (this) {
             stream = opened;
-            close = stop != null;
+            alreadyStopped = stopReason != null;
         }
-        parts.runs().attach(generation, this).ifPresent(before -> before.stop(Stop.SUPERSEDED));
-        if (close) {
+        components.runs().attach(generation, this).ifPresent(previous -> previous.stop(StopReason.SUPERSEDED));
+        if (alreadyStopped) {
             opened.close();
         }
         return opened;
     }
 
-    private Attempt deliver(EngineStream opened, Optional<Flight> flight) {
+    private Attempt deliver(EngineStream opened, Optional<Flight> inFlight) {
         try {
             while (true) {
                 switch (opened.next()) {
                     case TokenFeed.Token token -> {
-                        flight.ifPresent(Flight::token);
-                        delivery.token();
-                        answer.token(token.offset(), token.text());
+                        inFlight.ifPresent(Flight::token);
+                        tokenLatency.recordToken();
+                        response.onToken(token.offset(), token.text());
                     }
                     case TokenFeed.End end -> {
-                        parts.metrics().preempted(work.kind().name(), end.preemptions());
-                        answer.end(end.tokens());
+                        components.metrics().preempted(request.kind().name(), end.preemptions());
+                        response.onEnd(end.tokens());
                         exchange.note("done after " + end.tokens() + " tokens");
-                        parts.metrics().answered(work.kind().name(), Outcome.DONE);
-                        served(delivery.service());
+                        components.metrics().answered(request.kind().name(), Outcome.DONE);
+                        recordService(tokenLatency.service());
                         return Attempt.done();
                     }
-                    case TokenFeed.Lost lost -> throw new IllegalStateException(lost.message());
+                    case TokenFeed.Disconnected disconnected -> throw new IllegalStateException(disconnected.message());
                 }
             }
-        } catch (EngineStream.GenerationLost e) {
-            return lost(opened, e);
+        } catch (EngineStream.GenerationLostException e) {
+            return onGenerationLost(opened, e);
         } finally {
-            parts.runs().detach(opened.generation(), this);
-            parts.metrics().resumed(work.kind().name(), opened.resumes());
+            components.runs().detach(opened.generation(), this);
+            components.metrics().resumed(request.kind().name(), opened.resumeCount());
         }
     }
 
-    private Attempt lost(EngineStream opened, EngineStream.GenerationLost e) {
+    private Attempt onGenerationLost(EngineStream opened, EngineStream.GenerationLostException e) {
         TargetId target = opened.target().id();
         exchange.note("generation ended on " + target + ": " + e.getMessage());
-        Optional<Stop> reason = stopped();
+        Optional<StopReason> reason = stopReason();
         if (reason.isPresent()) {
             return endStopped(opened, reason.get());
         }
         return switch (e.reason()) {
             case CLOSED, SUPERSEDED -> {
-                answer.reconnect();
+                response.reconnect();
                 yield Attempt.stopped();
             }
             case CRASHED ->
@@ -356,9 +371,9 @@
         };
     }
 
-    private Attempt endStopped(EngineStream opened, Stop reason) {
+    private Attempt endStopped(EngineStream opened, StopReason reason) {
         switch (reason) {
-            case RECONNECT, SUPERSEDED -> answer.reconnect();
+            case RECONNECT, SUPERSEDED -> response.reconnect();
             case ABANDONED, CANCELLED, DEADLINE -> opened.cancel();
             default -> throw new IllegalStateException("unknown reason " + reason);
         }
@@ -366,37 +381,43 @@
     }
 
     private Optional<Problem> stopProblem() {
-        return stopped().flatMap(reason -> RunProblems.stopped(reason, mayHaveRun));
+        return stopReason().flatMap(reason -> RunProblems.stopped(reason, mayHaveRun));
     }
 
     private Problem generationLost(TargetId target, String detail) {
-        return RunProblems.generationLost(target, detail, answer.delivered(), stream == null ? 0 : stream.nextOffset());
+        return RunProblems.generationLost(
+                target, detail, response.hasDelivered(), stream == null ? 0 : stream.nextOffset());
     }
 
-    private void failed(Problem found) {
-        Problem problem = mayHaveRun && found.outcome() == Outcome.NOT_RUN ? found.withOutcome(Outcome.UNKNOWN) : found;
-        parts.metrics().answered(work.kind().name(), problem.outcome());
-        parts.metrics().failed(problem.step());
-        boolean callerLeft = stopped()
-                .filter(reason -> reason == Stop.ABANDONED || reason == Stop.CANCELLED)
+    private void fail(Problem original) {
+        Problem problem =
+                mayHaveRun && original.outcome() == Outcome.NOT_RUN ? original.withOutcome(Outcome.UNKNOWN) : original;
+        components.metrics().answered(request.kind().name(), problem.outcome());
+        components.metrics().failed(problem.step());
+        boolean endedByCaller = stopReason()
+                .filter(reason -> reason == StopReason.ABANDONED || reason == StopReason.CANCELLED)
                 .isPresent();
-        if (!callerLeft) {
-            served(problem.outcome() == Outcome.NOT_RUN ? Service.REFUSED : Service.LOST);
+        if (!endedByCaller) {
+            recordService(problem.outcome() == Outcome.NOT_RUN ? Service.REFUSED : Service.LOST);
         }
-        answer.fail(problem);
+        response.fail(problem);
     }
 
-    private void served(Service service) {
-        parts.metrics().budget().count(work.kind().name(), work.organisation().id(), service);
+    private void recordService(Service service) {
+        components
+                .metrics()
+                .budget()
+                .count(request.kind().name(), request.organisation().id(), service);
     }
 
-    private String token(TargetId target, GenerationId generation) {
-        return parts.streamTokens()
-                .write(new StreamTokens.Claims(
+    private String streamToken(TargetId target, GenerationId generation) {
+        return components
+                .streamTokens()
+                .sign(new StreamTokens.Claims(
                         target,
                         generation,
-                        work.organisation().id(),
-                        work.kind().name()));
+                        request.organisation().id(),
+                        request.kind().name()));
     }
 
     private void pause(Duration delay) {
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineStarter.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineStarter.java
@@ -12,73 +12,73 @@
 import org.verbenatally.entry.target.TokenFeed;
 import org.verbenatally.policy.FlightEnd;
 
-/** Starts a generation; if the engine's answer is lost, asks for the generation on a new connection. */
+/** Starts a generation; if the engine's response is lost, attaches to the generation on a new connection. */
 final class EngineStarter {
-    /** Patient work has priority 0. */
+    /** Engine priority of urgent work; patient work has priority 0. */
     private static final int URGENT_PRIORITY = 10;
 
-    private final CallerParts parts;
-    private final Work work;
+    private final CallerComponents components;
+    private final GenerationRequest work;
 
-    /** What became of a start. */
+    /** Result of a start. */
     sealed interface Result {}
 
-    /** The generation runs and is attached. */
+    /** The generation is running and attached to. */
     record Started(TokenFeed feed) implements Result {}
 
     /**
      * The generation could not be started or reached.
      *
-     * @param failure what went wrong last
-     * @param end end of the flight
-     * @param mayHaveRun whether the engine may have begun it
+     * @param failure the last failure
+     * @param end how the attempt ended for its target
+     * @param mayHaveRun whether the engine may have started the generation
      */
     record Failed(TargetFailure failure, FlightEnd end, boolean mayHaveRun) implements Result {}
 
-    EngineStarter(CallerParts parts, Work work) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+    EngineStarter(CallerComponents components, GenerationRequest work) {
+        this.components = Objects.requireNonNull(components, "components");
         this.work = Objects.requireNonNull(work, "work");
     }
 
-    /** Waits for the start; must run in a virtual-thread task. */
+    /** Starts the generation and attaches to it; waits and must run in a virtual-thread task. */
     Result start(Target target, GenerationId generation) {
-        Optional<Incarnation> before = parts.loads().incarnation(target.id());
+        Optional<Incarnation> incarnationBefore = components.loads().incarnation(target.id());
         try {
-            return new Started(parts.clients().engines().start(target, request(generation)));
+            return new Started(components.clients().engines().start(target, startRequest(generation)));
         } catch (TargetFailure e) {
             if (e.reason() == TargetFailure.Cause.LEAVING) {
-                parts.targetLeaving(target.id());
+                components.markLeaving(target.id());
             }
-            boolean lost = e.reason() == TargetFailure.Cause.SILENT || e.reason() == TargetFailure.Cause.BROKEN;
-            return lost ? attach(target, generation, before) : failed(e);
+            boolean responseLost = e.reason() == TargetFailure.Cause.SILENT || e.reason() == TargetFailure.Cause.BROKEN;
+            return responseLost ? attach(target, generation, incarnationBefore) : failed(e);
         }
     }
 
     private static Failed failed(TargetFailure e) {
-        FlightEnd away = e.reason().unreachable() ? FlightEnd.UNREACHABLE : FlightEnd.FAILED;
-        FlightEnd end = e.reason().refused() ? FlightEnd.REFUSED : away;
-        return new Failed(e, end, !e.reason().notRun());
+        FlightEnd failureEnd = e.reason().isUnreachable() ? FlightEnd.UNREACHABLE : FlightEnd.FAILED;
+        FlightEnd end = e.reason().isRefused() ? FlightEnd.REFUSED : failureEnd;
+        return new Failed(e, end, !e.reason().isNotRun());
     }
 
-    /** The engine may have taken the request although its answer was lost. */
-    private Result attach(Target target, GenerationId generation, Optional<Incarnation> before) {
+    /** Attaches to a generation that the engine may have started although its response was lost. */
+    private Result attach(Target target, GenerationId generation, Optional<Incarnation> incarnationBefore) {
         try {
-            return new Started(parts.clients().engines().resume(target, generation, 0));
+            return new Started(components.clients().engines().resume(target, generation, 0));
         } catch (TargetFailure e) {
             boolean crashed =
                     switch (e.reason()) {
                         case CONNECTION_REFUSED -> true;
-                        case UNKNOWN_GENERATION -> parts.loads().hasRestarted(target, before);
+                        case UNKNOWN_GENERATION -> components.loads().hasRestarted(target, incarnationBefore);
                         default -> false;
                     };
-            // The start may have left, so a refusal of the second request does not prove that nothing ran.
+            // The start request may have been sent, so a refused attach does not prove that nothing ran.
             return new Failed(e, crashed ? FlightEnd.CRASHED : FlightEnd.FAILED, true);
         }
     }
 
-    private EngineClient.Start request(GenerationId generation) {
+    private EngineClient.StartRequest startRequest(GenerationId generation) {
         Kind kind = work.kind();
-        return new EngineClient.Start(
+        return new EngineClient.StartRequest(
                 generation,
                 kind.model().orElseThrow(),
                 kind.adapter(),
--- a/entry/src/main/java/org/verbenatally/entry/caller/EventWriter.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EventWriter.java
@@ -13,37 +13,38 @@
 /** Writes server-sent events to one caller, with keep-alives and a bounded buffer. */
 final class EventWriter {
     private static final Logger LOG = Logger.getLogger(EventWriter.class);
-    private static final Duration KEEP_ALIVE = Duration.ofSeconds(2);
-    /** Unsent bytes held for one reader; about 500 tokens. */
-    private static final int BUFFER_BYTES = 65_536;
-    /** A reader that takes no half of the buffer in this time is dropped; it can resume. */
-    private static final Duration SLOW_READER = Duration.ofSeconds(10);
+    private static final Duration KEEP_ALIVE_PERIOD = Duration.ofSeconds(2);
+    /** Maximum size of the write queue of one caller, in bytes; about 500 tokens. */
+    private static final int MAX_WRITE_QUEUE_BYTES = 65_536;
+    /** A caller that does not read half of a full buffer within this time is disconnected; it can resume. */
+    private static final Duration SLOW_READER_TIMEOUT = Duration.ofSeconds(10);
 
-    private static final Duration LAST_BYTES = Duration.ofSeconds(2);
+    /** Time after the last event until the connection is closed, even if the event has not been sent. */
+    private static final Duration FLUSH_TIMEOUT = Duration.ofSeconds(2);
 
     private final HttpServerRequest request;
     private final HttpServerResponse response;
     private final Vertx vertx;
-    private final long timer;
+    private final long keepAliveTimer;
     private long lastWriteNanos = System.nanoTime();
-    private boolean gone;
+    private boolean disconnected;
     private boolean ended;
-    private Runnable onGone;
-    private Promise<Void> draining;
+    private Runnable disconnectHandler;
+    private Promise<Void> pendingDrain;
 
     EventWriter(Vertx vertx, Exchange exchange) {
         this.vertx = vertx;
         this.request = exchange.request();
         this.response = exchange.response();
-        response.setWriteQueueMaxSize(BUFFER_BYTES);
-        response.closeHandler(v -> leave());
-        response.exceptionHandler(e -> leave());
-        timer = vertx.setPeriodic(KEEP_ALIVE.toMillis() / 4, id -> keepAlive());
+        response.setWriteQueueMaxSize(MAX_WRITE_QUEUE_BYTES);
+        response.closeHandler(v -> markDisconnected());
+        response.exceptionHandler(e -> markDisconnected());
+        keepAliveTimer = vertx.setPeriodic(KEEP_ALIVE_PERIOD.toMillis() / 4, id -> sendKeepAlive());
     }
 
-    /** Sends the head, if it was not sent before. */
+    /** Sends the response head, unless it has been sent before. */
     void open(String requestId) {
-        if (response.headWritten() || gone()) {
+        if (response.headWritten() || isDisconnected()) {
             return;
         }
         response.setChunked(true)
@@ -53,8 +54,9 @@
         write(": open\n\n");
     }
 
+    /** Writes events; waits while the write queue is full. */
     void write(String text) {
-        if (gone()) {
+        if (isDisconnected()) {
             return;
         }
         lastWriteNanos = System.nanoTime();
@@ -67,32 +69,34 @@
     private void awaitDrain() {
         Promise<Void> drained = Promise.promise();
         synchronized (this) {
-            if (gone) {
+            if (disconnected) {
                 return;
             }
-            draining = drained;
+            pendingDrain = drained;
         }
         response.drainHandler(v -> drained.tryComplete());
         if (!response.writeQueueFull()) {
             return;
         }
         try {
-            TimedAwait.await(drained.future(), SLOW_READER);
+            TimedAwait.await(drained.future(), SLOW_READER_TIMEOUT);
         } catch (TimeoutException e) {
-            LOG.infof("stream: dropping a reader that took no data for %d ms", SLOW_READER.toMillis());
-            drop();
+            LOG.infof(
+                    "stream: disconnecting a slow caller: its write queue stayed full for %d ms",
+                    SLOW_READER_TIMEOUT.toMillis());
+            abort();
         }
     }
 
-    /** Gives up the response, which another part ends. */
+    /** Stops using the response, which another class then ends. */
     void release() {
         synchronized (this) {
             ended = true;
         }
-        vertx.cancelTimer(timer);
+        vertx.cancelTimer(keepAliveTimer);
     }
 
-    /** Ends the stream in order. */
+    /** Ends the stream in an orderly way. */
     void end() {
         synchronized (this) {
             if (ended) {
@@ -100,13 +104,13 @@
             }
             ended = true;
         }
-        vertx.cancelTimer(timer);
+        vertx.cancelTimer(keepAliveTimer);
         if (!response.closed()) {
             response.end();
         }
     }
 
-    /** Ends the stream in order and closes the connection after the last byte. */
+    /** Ends the stream in an orderly way and closes the connection after the last byte. */
     void endAndClose() {
         synchronized (this) {
             if (ended) {
@@ -114,60 +118,61 @@
             }
             ended = true;
         }
-        vertx.cancelTimer(timer);
+        vertx.cancelTimer(keepAliveTimer);
         if (!response.closed()) {
             response.end().onComplete(done -> request.connection().close());
-            // On a silent connection the last bytes never leave.
-            vertx.setTimer(LAST_BYTES.toMillis(), id -> request.connection().close());
+            // If the peer acknowledges nothing, the last bytes are never sent and the write never completes.
+            vertx.setTimer(FLUSH_TIMEOUT.toMillis(), id -> request.connection().close());
         }
     }
 
-    /** Closes the connection without an end. */
-    void drop() {
-        vertx.cancelTimer(timer);
-        leave();
+    /** Closes the connection without ending the stream. */
+    void abort() {
+        vertx.cancelTimer(keepAliveTimer);
+        markDisconnected();
         request.connection().close();
     }
 
-    synchronized boolean gone() {
-        return gone;
+    synchronized boolean isDisconnected() {
+        return disconnected;
     }
 
-    void onGone(Runnable task) {
-        boolean now;
+    /** Registers a task that is run once, when the caller has disconnected. */
+    void onDisconnect(Runnable task) {
+        boolean alreadyDisconnected;
         synchronized (this) {
-            onGone = task;
-            now = gone;
+            disconnectHandler = task;
+            alreadyDisconnected = disconnected;
         }
-        if (now) {
-            leave();
+        if (alreadyDisconnected) {
+            markDisconnected();
         }
     }
 
-    private void leave() {
+    private void markDisconnected() {
         Runnable task;
         synchronized (this) {
             if (ended) {
                 return;
             }
-            gone = true;
-            task = onGone;
-            onGone = null;
-            if (draining != null) {
-                draining.tryComplete();
+            disconnected = true;
+            task = disconnectHandler;
+            disconnectHandler = null;
+            if (pendingDrain != null) {
+                pendingDrain.tryComplete();
             }
         }
-        vertx.cancelTimer(timer);
+        vertx.cancelTimer(keepAliveTimer);
         if (task != null) {
             task.run();
         }
     }
 
-    private void keepAlive() {
-        if (gone() || !response.headWritten() || response.ended()) {
+    private void sendKeepAlive() {
+        if (isDisconnected() || !response.headWritten() || response.ended()) {
             return;
         }
-        if (System.nanoTime() - lastWriteNanos > KEEP_ALIVE.toNanos() * 3 / 4 && !response.writeQueueFull()) {
+        if (System.nanoTime() - lastWriteNanos > KEEP_ALIVE_PERIOD.toNanos() * 3 / 4 && !response.writeQueueFull()) {
             lastWriteNanos = System.nanoTime();
             response.write(": keep-alive\n\n");
         }
--- a/entry/src/main/java/org/verbenatally/entry/caller/Exchange.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/Exchange.java
@@ -18,7 +18,7 @@
 import org.verbenatally.entry.operator.RequestTrace;
 import org.verbenatally.time.TimedAwait;
 
-/** One request of a caller with its answer. Used by one virtual-thread task. */
+/** One HTTP request of a caller and the response to it. Used by one virtual-thread task. */
 final class Exchange {
     static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
@@ -32,7 +32,7 @@
     private final HttpServerRequest request;
     private final String id;
     private final long startNanos;
-    private final boolean idValid;
+    private final boolean idIsValid;
     private Organisation organisation;
     private RequestTrace trace;
     private boolean decidedByOwner;
@@ -40,20 +40,26 @@
     Exchange(HttpServerRequest request, long startNanos) {
         this.request = Objects.requireNonNull(request, "request");
         this.startNanos = startNanos;
-        // A caller that leaves is no error; parts that must know of it set handlers of their own.
+        // A caller that disconnects is no error; classes that must react to it replace this handler with their own.
         request.response().exceptionHandler(e -> {});
-        String offered = request.getHeader("Request-Id");
-        this.idValid = offered == null || REQUEST_ID.matcher(offered).matches();
-        this.id = offered != null && idValid ? offered : UUID.randomUUID().toString();
+        String suppliedId = request.getHeader("Request-Id");
+        this.idIsValid = suppliedId == null || REQUEST_ID.matcher(suppliedId).matches();
+        this.id =
+                suppliedId != null && idIsValid ? suppliedId : UUID.randomUUID().toString();
     }
 
+    /**
+     * Checks the header {@code Request-Id}.
+     *
+     * @throws ProblemException if it is malformed
+     */
     void checkId() {
-        if (!idValid) {
+        if (!idIsValid) {
             throw new ProblemException(Problem.refused(
                     BAD_REQUEST,
                     "invalid-header",
                     Step.ACCEPT,
-                    "Request-Id must be 1 to 128 characters out of letters, digits, '.', '_', ':' and '-'"));
+                    "Request-Id must be 1 to 128 characters from letters, digits, '.', '_', ':' and '-'"));
         }
     }
 
@@ -73,38 +79,44 @@
         return startNanos;
     }
 
-    void organisation(Organisation authenticated) {
-        this.organisation = authenticated;
+    void setOrganisation(Organisation organisation) {
+        this.organisation = organisation;
     }
 
     Organisation organisation() {
         return organisation;
     }
 
-    void trace(RequestTrace opened) {
-        this.trace = opened;
+    void setTrace(RequestTrace trace) {
+        this.trace = trace;
     }
 
+    /** Adds a line to the request's trace, if one was opened. */
     void note(String text) {
         if (trace != null) {
             trace.note(text);
         }
     }
 
-    /** States that the outcome was decided by the owner of the request's idempotency key. */
-    void decidedByOwner() {
+    /** Records that the owner of the request's idempotency key has decided the outcome. */
+    void markDecidedByOwner() {
         decidedByOwner = true;
     }
 
-    boolean hasKey() {
+    boolean hasIdempotencyKey() {
         return request.getHeader(IDEMPOTENCY_KEY) != null;
     }
 
-    /** Returns the deadline on the monotonic clock. */
-    long deadlineNanos(Duration fallback) {
+    /**
+     * Returns the deadline on the monotonic clock.
+     *
+     * @param defaultTimeout time from the start of the request that applies without a {@code Deadline-Ms} header
+     * @throws ProblemException if the header is not a number of milliseconds from 1 to two hours
+     */
+    long deadlineNanos(Duration defaultTimeout) {
         String text = request.getHeader("Deadline-Ms");
         if (text == null) {
-            return startNanos + fallback.toNanos();
+            return startNanos + defaultTimeout.toNanos();
         }
         try {
             long millis = Long.parseLong(text);
@@ -112,7 +124,7 @@
                 return startNanos + TimeUnit.MILLISECONDS.toNanos(millis);
             }
         } catch (NumberFormatException e) {
-            // Falls through to the refusal.
+            // Falls through to the exception below.
         }
         throw new ProblemException(Problem.refused(
                 BAD_REQUEST,
@@ -121,61 +133,65 @@
                 "Deadline-Ms must be a number from 1 to " + MAX_DEADLINE_MS));
     }
 
-    /** Reads the body. Must be called before the task waits for anything else. */
-    Buffer body(int maxBytes) {
+    /**
+     * Reads the request body. Must be called before the task waits for anything else.
+     *
+     * @throws ProblemException if the body is longer than {@code maxBytes} or does not arrive in time
+     */
+    Buffer readBody(int maxBytes) {
         Problem tooLarge = Problem.refused(
                 TOO_LARGE, "body-too-large", Step.ACCEPT, "the body must be at most " + maxBytes + " bytes");
         String length = request.getHeader("Content-Length");
         if (length != null && length.length() > 9 || length != null && Long.parseLong(length) > maxBytes) {
             throw new ProblemException(tooLarge);
         }
-        Promise<Buffer> whole = Promise.promise();
+        Promise<Buffer> complete = Promise.promise();
         Buffer collected = Buffer.buffer();
-        request.handler(part -> {
-            if (collected.length() + part.length() > maxBytes) {
-                whole.tryFail(new ProblemException(tooLarge));
+        request.handler(chunk -> {
+            if (collected.length() + chunk.length() > maxBytes) {
+                complete.tryFail(new ProblemException(tooLarge));
             } else {
-                collected.appendBuffer(part);
+                collected.appendBuffer(chunk);
             }
         });
-        request.exceptionHandler(whole::tryFail);
-        request.endHandler(v -> whole.tryComplete(collected));
+        request.exceptionHandler(complete::tryFail);
+        request.endHandler(v -> complete.tryComplete(collected));
         try {
-            return TimedAwait.await(whole.future(), BODY_TIMEOUT);
+            return TimedAwait.await(complete.future(), BODY_TIMEOUT);
         } catch (TimeoutException e) {
             throw new ProblemException(
                     Problem.refused(REQUEST_TIMEOUT, "body-timeout", Step.ACCEPT, "the body did not arrive in time"));
         }
     }
 
-    /** Sends a problem document, if nothing was sent yet. */
+    /** Sends a problem document, unless the response has already begun. */
     void fail(Problem problem) {
         HttpServerResponse response = response();
-        Problem shown = problem;
-        if (hasKey() && !decidedByOwner && problem.outcome() == Outcome.NOT_RUN) {
-            // An earlier copy with this key may have run; only the key's owner can tell.
-            shown = problem.withOutcome(Outcome.UNKNOWN);
+        Problem reported = problem;
+        if (hasIdempotencyKey() && !decidedByOwner && problem.outcome() == Outcome.NOT_RUN) {
+            // An earlier request with this key may have run; only the key's owner knows.
+            reported = problem.withOutcome(Outcome.UNKNOWN);
         }
-        note("failed at " + shown.step().text() + ": " + shown.detail());
+        note("failed at " + reported.step().text() + ": " + reported.detail());
         if (response.headWritten() || response.ended() || response.closed()) {
             return;
         }
-        response.setStatusCode(shown.status())
+        response.setStatusCode(reported.status())
                 .putHeader("Content-Type", "application/problem+json")
-                .putHeader("Outcome", shown.outcome().text())
+                .putHeader("Outcome", reported.outcome().text())
                 .putHeader("Request-Id", id);
-        shown.retryAfter()
+        reported.retryAfter()
                 .ifPresent(delay -> response.putHeader(
                         "Retry-After", Long.toString(Math.max(1, (delay.toMillis() + 999) / 1_000))));
         if (!request.isEnded()) {
-            // The rest of the body is not read, so the connection cannot carry another request.
+            // The rest of the body is discarded unread, so the connection cannot be used for another request.
             response.putHeader("Connection", "close");
             request.resume();
         }
-        response.end(shown.json(id).toBuffer());
+        response.end(reported.json(id).toBuffer());
     }
 
-    /** Sends a whole answer. */
+    /** Sends a complete response; a {@code null} body sends none. */
     void succeed(int status, String contentType, Buffer body) {
         HttpServerResponse response = response();
         if (response.headWritten() || response.closed()) {
@@ -189,7 +205,7 @@
         }
     }
 
-    /** Sends a whole JSON answer. */
+    /** Sends a complete JSON response. */
     void succeed(int status, JsonObject body) {
         succeed(status, "application/json", body.toBuffer());
     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/Work.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/GenerationRequest.java
@@ -7,18 +7,18 @@
 import org.verbenatally.policy.Fingerprint;
 
 /**
- * A generation that a caller asks for.
+ * A caller's request for a generation.
  *
  * @param kind the kind of work
- * @param organisation whose work it is
+ * @param organisation organisation whose request it is
  * @param prompt the prompt
- * @param maxTokens longest output, in tokens
- * @param prefixHash hash of the leading part of the prompt
- * @param fingerprint identifies equal requests
+ * @param maxTokens maximum length of the output, in tokens
+ * @param prefixHash hash of the prompt's prefix
+ * @param fingerprint equal for equal requests
  * @param startNanos when the request arrived, on the monotonic clock
  * @param deadlineNanos when it must be complete, on the monotonic clock
  */
-record Work(
+record GenerationRequest(
         Kind kind,
         Organisation organisation,
         String prompt,
@@ -28,17 +28,17 @@
         long startNanos,
         long deadlineNanos) {
 
-    private static final int CHARS_PER_TOKEN = 4;
+    private static final int ESTIMATED_CHARS_PER_TOKEN = 4;
 
-    Work {
+    GenerationRequest {
         Objects.requireNonNull(prompt, "prompt");
         if (maxTokens < 1) {
             throw new IllegalArgumentException("maxTokens must be positive");
         }
     }
 
-    /** Estimates the length of the prompt, in tokens. */
+    /** Returns the estimated length of the prompt, in tokens. */
     int promptTokens() {
-        return Math.max(1, prompt.length() / CHARS_PER_TOKEN);
+        return Math.max(1, prompt.length() / ESTIMATED_CHARS_PER_TOKEN);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
@@ -13,21 +13,22 @@
 import org.verbenatally.policy.FlightEnd;
 
 /**
- * One idempotent call of a plain service. After a silence or a failure it is tried again on a new connection while the
- * first attempt may still answer; the first answer wins.
+ * One idempotent call of a plain service. If the first attempt has not responded after {@link #HEDGE_DELAY}, a second
+ * one is started on a new connection while the first may still respond (a hedged request); the first response wins. A
+ * failed attempt is retried as the retry policy allows.
  */
 final class IdempotentCall {
-    private static final Duration SILENCE = Duration.ofSeconds(2);
+    private static final Duration HEDGE_DELAY = Duration.ofSeconds(2);
 
     private final ServiceCalls calls;
     private final Vertx vertx;
     private final Exchange exchange;
     private final ServiceCalls.Call call;
-    private final Promise<CallResult> answer = Promise.promise();
-    private final Set<TargetId> tried = new HashSet<>();
-    private int attempts;
-    private int running;
-    private int sent;
+    private final Promise<CallResult> result = Promise.promise();
+    private final Set<TargetId> triedTargets = new HashSet<>();
+    private int startedAttempts;
+    private int runningAttempts;
+    private int sentAttempts;
     private boolean mayHaveRun;
 
     IdempotentCall(ServiceCalls calls, Vertx vertx, Exchange exchange, ServiceCalls.Call call) {
@@ -39,79 +40,85 @@
 
     /** Waits for the result; must be called in a virtual-thread task. */
     CallResult run() {
-        launch();
-        long silence = vertx.setTimer(SILENCE.toMillis(), id -> onSilence());
+        startAttempt();
+        long hedgeTimer = vertx.setTimer(HEDGE_DELAY.toMillis(), id -> onHedgeDelay());
         try {
-            return answer.future().await();
+            return result.future().await();
         } finally {
-            vertx.cancelTimer(silence);
+            vertx.cancelTimer(hedgeTimer);
         }
     }
 
-    private synchronized void launch() {
-        attempts++;
-        running++;
-        int number = attempts;
-        Set<TargetId> exclude = tried.size() >= calls.parts().enginesFor(call.kind()) ? Set.of() : Set.copyOf(tried);
+    private synchronized void startAttempt() {
+        startedAttempts++;
+        runningAttempts++;
+        int number = startedAttempts;
+        Set<TargetId> exclude = triedTargets.size() >= calls.components().targetCount(call.kind())
+                ? Set.of()
+                : Set.copyOf(triedTargets);
         calls.context().runOnContext(v -> {
             exchange.note("attempt " + number);
-            ServiceCalls.Attempt attempt = calls.attempt(call, exclude, number > 1, () -> onSend());
+            ServiceCalls.Attempt attempt = calls.runAttempt(call, exclude, number > 1, () -> onSend());
             onEnd(attempt);
         });
     }
 
+    /** Counts an attempt that is about to send its first byte; returns whether it may do so. */
     private synchronized boolean onSend() {
-        sent++;
-        return !answer.future().isComplete();
+        sentAttempts++;
+        return !result.future().isComplete();
     }
 
-    private void onSilence() {
+    private void onHedgeDelay() {
         synchronized (this) {
-            // An attempt that still waits for its turn is not silent.
-            if (answer.future().isComplete() || running != 1 || sent == 0 || attempts > 1) {
+            // An attempt that is still queued has sent nothing yet, so no response can be overdue.
+            if (result.future().isComplete() || runningAttempts != 1 || sentAttempts == 0 || startedAttempts > 1) {
                 return;
             }
             if (call.kind().maxAttempts() < 2) {
                 return;
             }
         }
-        exchange.note("no answer for " + SILENCE.toMillis() + " ms, trying once more");
-        again();
+        exchange.note("no response for " + HEDGE_DELAY.toMillis() + " ms, starting a second attempt");
+        startRetry();
     }
 
     private void onEnd(ServiceCalls.Attempt attempt) {
         Optional<Duration> delay = Optional.empty();
         synchronized (this) {
-            running--;
-            mayHaveRun |= attempt.sent();
-            attempt.target().ifPresent(tried::add);
-            boolean settled = attempt.end() == FlightEnd.DONE || answer.future().isComplete();
-            // A call whose bytes have left gets one further attempt; one that was refused may get more.
-            boolean mayRetry = !settled && attempt.target().isPresent() && running == 0 && sent < 2 + refusals(attempt);
+            runningAttempts--;
+            mayHaveRun |= attempt.mayHaveRun();
+            attempt.target().ifPresent(triedTargets::add);
+            boolean settled = attempt.end() == FlightEnd.DONE || result.future().isComplete();
+            // Once bytes have been sent, only one further attempt is made; a refused call may be sent more often.
+            boolean mayRetry = !settled
+                    && attempt.target().isPresent()
+                    && runningAttempts == 0
+                    && sentAttempts < 2 + extraSends(attempt);
             if (mayRetry) {
-                delay = calls.decide(call, attempt, attempts);
+                delay = calls.retryDelay(call, attempt, startedAttempts);
             }
             if (delay.isEmpty()) {
-                if (settled || running == 0) {
-                    answer.tryComplete(result(attempt.result()));
+                if (settled || runningAttempts == 0) {
+                    result.tryComplete(finalResult(attempt.result()));
                 }
                 return;
             }
         }
         exchange.note("retry: " + attempt.result().message());
-        vertx.setTimer(Math.max(1, delay.get().toMillis()), id -> again());
+        vertx.setTimer(Math.max(1, delay.get().toMillis()), id -> startRetry());
     }
 
-    private static int refusals(ServiceCalls.Attempt attempt) {
+    private static int extraSends(ServiceCalls.Attempt attempt) {
         return attempt.end() == FlightEnd.REFUSED ? Integer.MAX_VALUE - 2 : 0;
     }
 
-    private void again() {
-        calls.parts().metrics().retried(call.kind().name());
-        launch();
+    private void startRetry() {
+        calls.components().metrics().retried(call.kind().name());
+        startAttempt();
     }
 
-    private CallResult result(CallResult last) {
+    private CallResult finalResult(CallResult last) {
         return mayHaveRun && last.outcome() == Outcome.NOT_RUN
                 ? CallResult.failed(Outcome.UNKNOWN, last.step().orElseThrow(), last.peer(), last.message())
                 : last;
--- a/entry/src/main/java/org/verbenatally/entry/caller/LiveRuns.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/LiveRuns.java
@@ -7,7 +7,7 @@
 
 import org.verbenatally.core.GenerationId;
 
-/** The engine requests that this entry serves now. Safe for use by several threads. */
+/** The engine requests that this entry is serving. Thread-safe. */
 final class LiveRuns {
     private final Set<EngineRun> runs = ConcurrentHashMap.newKeySet();
     private final Map<GenerationId, EngineRun> byGeneration = new ConcurrentHashMap<>();
@@ -20,9 +20,9 @@
         runs.remove(run);
     }
 
-    /** Names the run that reads a generation, and returns the one that read it before. */
+    /** Registers the run that reads a generation; returns the other run that read it before, if any. */
     Optional<EngineRun> attach(GenerationId generation, EngineRun run) {
-        return Optional.ofNullable(byGeneration.put(generation, run)).filter(before -> before != run);
+        return Optional.ofNullable(byGeneration.put(generation, run)).filter(previous -> previous != run);
     }
 
     void detach(GenerationId generation, EngineRun run) {
@@ -33,11 +33,12 @@
         return Optional.ofNullable(byGeneration.get(generation));
     }
 
+    /** Returns the number of runs. */
     int count() {
         return runs.size();
     }
 
-    void stopAll(EngineRun.Stop reason) {
+    void stopAll(EngineRun.StopReason reason) {
         runs.forEach(run -> run.stop(reason));
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/OrganisationLimits.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/OrganisationLimits.java
@@ -10,109 +10,112 @@
 import org.verbenatally.core.OrganisationId;
 import org.verbenatally.core.Step;
 
-/** Limits of each organisation at this entry: request rate and open requests. Safe for use by several threads. */
+/** Limits the request rate and the open requests of each organisation at this entry. Thread-safe. */
 final class OrganisationLimits {
     private static final int TOO_MANY_REQUESTS = 429;
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Unused rate that may be saved up, in seconds. */
+    /** Capacity of the token bucket, in seconds of the organisation's rate. */
     private static final double BURST_SECONDS = 2;
 
     private final Map<OrganisationId, Usage> usages = new ConcurrentHashMap<>();
 
     private static final class Usage {
-        private double tokens = -1;
+        private double bucketTokens = -1;
         private long lastNanos;
-        private int open;
+        private int openRequests;
     }
 
-    /** A place among the open requests; closing it more than once does nothing. */
-    final class Place implements AutoCloseable {
+    /** The slot of an open request; closing it more than once does nothing. */
+    final class Slot implements AutoCloseable {
         private Usage usage;
 
-        private Place(Usage usage) {
+        private Slot(Usage usage) {
             this.usage = usage;
         }
 
         @Override
         public void close() {
-            Usage held;
+            Usage heldUsage;
             synchronized (this) {
-                held = usage;
+                heldUsage = usage;
                 usage = null;
             }
-            if (held != null) {
-                synchronized (held) {
-                    held.open--;
+            if (heldUsage != null) {
+                synchronized (heldUsage) {
+                    heldUsage.openRequests--;
                 }
             }
         }
     }
 
     /**
-     * Counts a request.
+     * Counts a request against its organisation's limits until the returned slot is closed.
      *
      * @param organisation whose request it is
-     * @param nowNanos monotonic time
-     * @param isNewWork whether the limit of open requests applies; a resume takes the place of a lost connection
-     * @throws ProblemException if the organisation is above a limit
+     * @param nowNanos current time on the monotonic clock
+     * @param isNewWork whether the limit of open requests applies; it does not to a resume, which replaces a lost
+     *     connection
+     * @throws ProblemException if the organisation has reached a limit
      */
-    Place enter(Organisation organisation, long nowNanos, boolean isNewWork) {
+    Slot acquire(Organisation organisation, long nowNanos, boolean isNewWork) {
         Usage usage = usages.computeIfAbsent(organisation.id(), id -> new Usage());
         Optional<Problem> refusal;
         synchronized (usage) {
-            refusal = check(usage, organisation, nowNanos, isNewWork);
+            refusal = checkLimits(usage, organisation, nowNanos, isNewWork);
             if (refusal.isEmpty()) {
-                usage.tokens--;
-                usage.open++;
+                usage.bucketTokens--;
+                usage.openRequests++;
             }
         }
         refusal.ifPresent(problem -> {
             throw new ProblemException(problem);
         });
-        return new Place(usage);
+        return new Slot(usage);
     }
 
-    private static Optional<Problem> check(Usage usage, Organisation organisation, long nowNanos, boolean isNewWork) {
+    private static Optional<Problem> checkLimits(
+            Usage usage, Organisation organisation, long nowNanos, boolean isNewWork) {
         double rate = organisation.requestsPerSecond();
-        double bound = Math.max(1, rate * BURST_SECONDS);
-        if (usage.tokens < 0) {
-            usage.tokens = bound;
+        double burst = Math.max(1, rate * BURST_SECONDS);
+        if (usage.bucketTokens < 0) {
+            usage.bucketTokens = burst;
         } else {
-            usage.tokens = Math.min(bound, usage.tokens + (nowNanos - usage.lastNanos) / NANOS_PER_SECOND * rate);
+            usage.bucketTokens =
+                    Math.min(burst, usage.bucketTokens + (nowNanos - usage.lastNanos) / NANOS_PER_SECOND * rate);
         }
         usage.lastNanos = nowNanos;
-        if (isNewWork && usage.open >= organisation.maxStreams()) {
-            return Optional.of(refusal("too-many-open", "the organisation has too many open requests")
+        if (isNewWork && usage.openRequests >= organisation.maxStreams()) {
+            return Optional.of(tooManyRequests("too-many-open", "the organisation has too many open requests")
                     .withRetryAfter(Duration.ofSeconds(1)));
         }
-        if (usage.tokens < 1) {
-            long waitMs = (long) Math.ceil((1 - usage.tokens) / rate * 1_000);
-            return Optional.of(refusal("rate-limited", "the organisation sends too many requests a second")
+        if (usage.bucketTokens < 1) {
+            long waitMs = (long) Math.ceil((1 - usage.bucketTokens) / rate * 1_000);
+            return Optional.of(tooManyRequests("rate-limited", "the organisation sends too many requests per second")
                     .withRetryAfter(Duration.ofMillis(waitMs)));
         }
         return Optional.empty();
     }
 
-    private static Problem refusal(String type, String detail) {
+    private static Problem tooManyRequests(String type, String detail) {
         return Problem.refused(TOO_MANY_REQUESTS, type, Step.ADMIT, detail);
     }
 
-    /** Returns the open requests of all organisations. */
-    int open() {
+    /** Returns the number of open requests of all organisations. */
+    int openRequests() {
         int sum = 0;
         for (Usage usage : usages.values()) {
             synchronized (usage) {
-                sum += usage.open;
+                sum += usage.openRequests;
             }
         }
         return sum;
     }
 
-    /** Forgets organisations that are no longer configured and have no open request. */
+    /** Removes the usage of organisations that are no longer configured and have no open request. */
     void retain(Set<OrganisationId> configured) {
         usages.entrySet().removeIf(entry -> {
             synchronized (entry.getValue()) {
-                return entry.getValue().open == 0 && !configured.contains(entry.getKey());
+                return entry.getValue().openRequests == 0 && !configured.contains(entry.getKey());
             }
         });
     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/Problem.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/Problem.java
@@ -18,8 +18,8 @@
  * @param outcome what is known about the request
  * @param step where the problem arose
  * @param peer the instance, target or caller on the other side
- * @param retryAfter when a new try makes sense, if it does
- * @param extra further members
+ * @param retryAfter delay after which a retry makes sense, if it does
+ * @param extraMembers further members of the document
  */
 record Problem(
         int status,
@@ -29,7 +29,7 @@
         Step step,
         String peer,
         Optional<Duration> retryAfter,
-        JsonObject extra) {
+        JsonObject extraMembers) {
 
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
@@ -40,7 +40,7 @@
         Objects.requireNonNull(step, "step");
     }
 
-    /** Returns a refusal of something that the caller sent. */
+    /** Returns a problem with the outcome {@code NOT_RUN} and the caller as its peer. */
     static Problem refused(int status, String type, Step step, String detail) {
         return new Problem(status, type, detail, Outcome.NOT_RUN, step, "caller", Optional.empty(), new JsonObject());
     }
@@ -59,20 +59,20 @@
                 status, type, e.getMessage(), e.outcome(), e.step(), e.peer(), e.retryAfter(), new JsonObject());
     }
 
-    /** Returns the problem with another instance or target on the other side. */
-    Problem at(String other) {
-        return new Problem(status, type, detail, outcome, step, other, retryAfter, extra);
+    /** Returns a copy with another instance or target as the peer. */
+    Problem withPeer(String otherPeer) {
+        return new Problem(status, type, detail, outcome, step, otherPeer, retryAfter, extraMembers);
     }
 
-    Problem withOutcome(Outcome other) {
-        return new Problem(status, type, detail, other, step, peer, retryAfter, extra);
+    Problem withOutcome(Outcome otherOutcome) {
+        return new Problem(status, type, detail, otherOutcome, step, peer, retryAfter, extraMembers);
     }
 
     Problem withRetryAfter(Duration delay) {
-        return new Problem(status, type, detail, outcome, step, peer, Optional.of(delay), extra);
+        return new Problem(status, type, detail, outcome, step, peer, Optional.of(delay), extraMembers);
     }
 
-    Problem with(String member, Object value) {
+    Problem withMember(String member, Object value) {
         return new Problem(
                 status,
                 type,
@@ -81,10 +81,11 @@
                 step,
                 peer,
                 retryAfter,
-                extra.copy().put(member, value));
+                extraMembers.copy().put(member, value));
     }
 
-    JsonObject json(String request) {
+    /** Returns the document as JSON. */
+    JsonObject json(String requestId) {
         JsonObject json = new JsonObject()
                 .put("type", type)
                 .put("title", type.replace('-', ' '))
@@ -93,8 +94,8 @@
                 .put("outcome", outcome.text())
                 .put("step", step.text())
                 .put("peer", peer)
-                .put("request", request);
+                .put("request", requestId);
         retryAfter.ifPresent(delay -> json.put("retryAfterMs", delay.toMillis()));
-        return json.mergeIn(extra);
+        return json.mergeIn(extraMembers);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/RunProblems.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/RunProblems.java
@@ -28,8 +28,8 @@
         return Problem.of(new StepException(Step.CONNECT, target.value(), Outcome.NOT_RUN, detail, null, RETRY_AFTER));
     }
 
-    static Problem generationLost(TargetId target, String detail, boolean anyDelivered, long delivered) {
-        Step step = anyDelivered ? Step.STREAM : Step.FIRST_TOKEN;
+    static Problem generationLost(TargetId target, String detail, boolean hasDelivered, long deliveredTokens) {
+        Step step = hasDelivered ? Step.STREAM : Step.FIRST_TOKEN;
         return new Problem(
                         BAD_GATEWAY,
                         "generation-lost",
@@ -39,11 +39,11 @@
                         target.value(),
                         Optional.empty(),
                         new JsonObject())
-                .with("delivered", anyDelivered ? delivered : 0);
+                .withMember("delivered", hasDelivered ? deliveredTokens : 0);
     }
 
-    /** Returns the problem of a run that was stopped; empty if its caller is not there or resumes. */
-    static Optional<Problem> stopped(EngineRun.Stop reason, boolean mayHaveRun) {
+    /** Returns the problem of a run that was stopped; empty if its caller has disconnected or resumes elsewhere. */
+    static Optional<Problem> stopped(EngineRun.StopReason reason, boolean mayHaveRun) {
         Step step = mayHaveRun ? Step.STREAM : Step.ADMIT;
         Optional<Problem> problem =
                 switch (reason) {
@@ -56,12 +56,12 @@
         return problem.map(p -> mayHaveRun ? p.withOutcome(Outcome.UNKNOWN) : p);
     }
 
-    /** As {@link #stopped}, for a run that has no stream to which its caller could return. */
-    static Optional<Problem> stoppedWhileWaiting(EngineRun.Stop reason, boolean mayHaveRun) {
-        if (reason != EngineRun.Stop.RECONNECT) {
+    /** Like {@link #stopped}, for a queued run: it has no stream yet that its caller could resume elsewhere. */
+    static Optional<Problem> stoppedWhileQueued(EngineRun.StopReason reason, boolean mayHaveRun) {
+        if (reason != EngineRun.StopReason.RECONNECT) {
             return stopped(reason, mayHaveRun);
         }
-        Problem stopping = Problem.refused(UNAVAILABLE, "stopping", Step.ADMIT, "this entry stops")
+        Problem stopping = Problem.refused(UNAVAILABLE, "stopping", Step.ADMIT, "this entry is stopping")
                 .withRetryAfter(RETRY_AFTER);
         return Optional.of(mayHaveRun ? stopping.withOutcome(Outcome.UNKNOWN) : stopping);
     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
@@ -34,7 +34,10 @@
 import org.verbenatally.policy.SuspectTable;
 import org.verbenatally.policy.WorkRequest;
 
-/** Attempts on plain services, and the runner of keyed calls. Each call is one task on the given context. */
+/**
+ * Sends calls to plain services, and runs calls with an idempotency key for their owner. Each keyed call is one task on
+ * the given context.
+ */
 final class ServiceCalls implements CallRunner {
     private static final Logger LOG = Logger.getLogger(ServiceCalls.class);
     private static final int SERVER_ERROR = 500;
@@ -42,7 +45,7 @@
     private static final int TIMEOUT = 408;
     private static final int TOO_MANY_REQUESTS = 429;
 
-    private final CallerParts parts;
+    private final CallerComponents components;
     private final Context context;
 
     /**
@@ -50,8 +53,8 @@
      *
      * @param kind kind of work
      * @param organisation whose call it is
-     * @param callId the same for all attempts
-     * @param body JSON
+     * @param callId id of the call, the same for all attempts
+     * @param body the request body, JSON
      * @param deadlineNanos deadline on the monotonic clock
      */
     record Call(Kind kind, Organisation organisation, String callId, Buffer body, long deadlineNanos) {
@@ -63,15 +66,15 @@
     /**
      * How one attempt ended.
      *
-     * @param result result, if it is the last attempt
-     * @param end end of the flight
+     * @param result result of the call if no further attempt follows
+     * @param end how the attempt ended for its target
      * @param target target of the attempt; empty if none was found
-     * @param sent whether a byte may have left and the target did not refuse
+     * @param mayHaveRun whether a byte may have been sent and the target did not refuse the call
      */
-    record Attempt(CallResult result, FlightEnd end, Optional<TargetId> target, boolean sent) {}
+    record Attempt(CallResult result, FlightEnd end, Optional<TargetId> target, boolean mayHaveRun) {}
 
-    ServiceCalls(CallerParts parts, Context context) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+    ServiceCalls(CallerComponents components, Context context) {
+        this.components = Objects.requireNonNull(components, "components");
         this.context = Objects.requireNonNull(context, "context");
     }
 
@@ -79,8 +82,8 @@
         return context;
     }
 
-    CallerParts parts() {
-        return parts;
+    CallerComponents components() {
+        return components;
     }
 
     @Override
@@ -90,39 +93,40 @@
             try {
                 result.complete(runOnce(call));
             } catch (Exception e) {
-                // Future.await throws checked exceptions undeclared, and the future must complete.
+                // Future.await throws checked exceptions without declaring them, and the result must always complete.
                 LOG.errorf(e, "key: request %s failed with an internal error", call.request());
-                result.complete(failed(Outcome.UNKNOWN, Step.SEND, "entry", "internal error"));
+                result.complete(failedResult(Outcome.UNKNOWN, Step.SEND, "entry", "internal error"));
             }
         });
         return result;
     }
 
-    /** Sends at most once: another target is tried only if nothing has left. */
+    /** Sends the call at most once: it is tried again only if no byte has been sent. */
     private CallResult runOnce(CallRunner.Call call) {
-        long pauses = parts.timer().pauseGeneration();
-        Optional<Deployment> deployment = parts.config().deployment();
+        long pauseGeneration = components.timer().pauseGeneration();
+        Optional<Deployment> deployment = components.config().deployment();
         Kind kind = deployment.map(d -> d.kinds().get(call.kind())).orElse(null);
         Organisation organisation =
                 deployment.map(d -> d.organisations().get(call.organisation())).orElse(null);
         if (kind == null || organisation == null || kind.runsOn() != TargetType.SERVICE) {
-            return failed(Outcome.NOT_RUN, Step.ADMIT, "entry", "the owner does not know the kind or organisation");
+            return failedResult(
+                    Outcome.NOT_RUN, Step.ADMIT, "entry", "the owner does not know the kind or organisation");
         }
         String callId = Long.toHexString(
                 Fingerprint.of(call.organisation(), call.kind(), call.key().getBytes(StandardCharsets.US_ASCII))
                         .high());
-        Call work = new Call(kind, organisation, callId, Buffer.buffer(call.body()), call.deadlineNanos());
-        BooleanSupplier maySend =
-                () -> parts.timer().pauseGeneration() == pauses && parts.timer().nanos() < call.deadlineNanos();
+        Call serviceCall = new Call(kind, organisation, callId, Buffer.buffer(call.body()), call.deadlineNanos());
+        BooleanSupplier maySend = () -> components.timer().pauseGeneration() == pauseGeneration
+                && components.timer().nanos() < call.deadlineNanos();
         int attempts = 0;
         while (true) {
             attempts++;
-            Attempt attempt = attempt(work, Set.of(), true, maySend);
-            if (attempt.sent() || attempt.target().isEmpty() || !maySend.getAsBoolean()) {
+            Attempt attempt = runAttempt(serviceCall, Set.of(), true, maySend);
+            if (attempt.mayHaveRun() || attempt.target().isEmpty() || !maySend.getAsBoolean()) {
                 return attempt.result();
             }
             boolean connectFailed = attempt.end() == FlightEnd.FAILED || attempt.end() == FlightEnd.UNREACHABLE;
-            Optional<Duration> delay = connectFailed ? decide(work, attempt, attempts) : Optional.empty();
+            Optional<Duration> delay = connectFailed ? retryDelay(serviceCall, attempt, attempts) : Optional.empty();
             if (delay.isEmpty()) {
                 return attempt.result();
             }
@@ -130,9 +134,11 @@
         }
     }
 
-    Optional<Duration> decide(Call call, Attempt attempt, int attempts) {
-        boolean suspect = parts.suspects().check(call.fingerprint()) != SuspectTable.Verdict.CLEAR;
-        return parts.dispatcher()
+    /** Returns the delay before the next attempt; empty if the call must not be retried. */
+    Optional<Duration> retryDelay(Call call, Attempt attempt, int attempts) {
+        boolean suspect = components.suspects().check(call.fingerprint()) != SuspectTable.Verdict.CLEAR;
+        return components
+                .dispatcher()
                 .retries()
                 .decide(new RetryInput(
                         call.kind(),
@@ -140,22 +146,30 @@
                         attempt.target().orElseThrow(),
                         attempt.end(),
                         attempts,
-                        attempt.sent(),
+                        attempt.mayHaveRun(),
                         false,
                         suspect,
-                        left(call)));
+                        remaining(call)));
     }
 
-    private Duration left(Call call) {
-        return Duration.ofNanos(Math.max(0, call.deadlineNanos() - parts.timer().nanos()));
+    private Duration remaining(Call call) {
+        return Duration.ofNanos(
+                Math.max(0, call.deadlineNanos() - components.timer().nanos()));
     }
 
-    /** Makes one attempt; waits and must run in a task of the context. */
-    Attempt attempt(Call call, Set<TargetId> exclude, boolean fresh, BooleanSupplier maySend) {
-        Flight flight;
+    /**
+     * Makes one attempt on a target that the dispatcher chooses; waits and must run in a task of the context.
+     *
+     * @param exclude targets that must not be chosen
+     * @param newConnection whether a new connection must be opened
+     * @param maySend queried once a connection exists, immediately before the first byte is sent
+     */
+    Attempt runAttempt(Call call, Set<TargetId> exclude, boolean newConnection, BooleanSupplier maySend) {
+        Flight inFlight;
         try {
-            flight = Future.fromCompletionStage(
-                            parts.dispatcher()
+            inFlight = Future.fromCompletionStage(
+                            components
+                                    .dispatcher()
                                     .acquire(new WorkRequest(
                                             call.kind(),
                                             call.organisation(),
@@ -167,67 +181,81 @@
                             context)
                     .await();
         } catch (StepException e) {
-            CallResult refused = failed(e.outcome(), e.step(), e.peer(), e.getMessage());
+            CallResult refused = failedResult(e.outcome(), e.step(), e.peer(), e.getMessage());
             return new Attempt(refused, FlightEnd.REFUSED, Optional.empty(), false);
         }
         Attempt attempt = null;
         try {
-            attempt = send(call, flight.target(), fresh, maySend);
+            attempt = send(call, inFlight.target(), newConnection, maySend);
             return attempt;
         } finally {
-            flight.end(attempt == null ? FlightEnd.FAILED : attempt.end());
+            inFlight.end(attempt == null ? FlightEnd.FAILED : attempt.end());
         }
     }
 
-    private Attempt send(Call call, TargetId id, boolean fresh, BooleanSupplier maySend) {
-        Optional<Target> target = parts.target(id);
+    private Attempt send(Call call, TargetId id, boolean newConnection, BooleanSupplier maySend) {
+        Optional<Target> target = components.target(id);
         if (target.isEmpty()) {
             return new Attempt(
-                    failed(Outcome.NOT_RUN, Step.ROUTE, id.value(), "the target was removed"),
+                    failedResult(Outcome.NOT_RUN, Step.ROUTE, id.value(), "the target was removed"),
                     FlightEnd.FAILED,
                     Optional.of(id),
                     false);
         }
-        Optional<Incarnation> known = parts.loads().incarnation(id);
+        Optional<Incarnation> incarnationBefore = components.loads().incarnation(id);
         boolean[] sent = {false};
-        BooleanSupplier gate = () -> {
+        BooleanSupplier sendCheck = () -> {
             sent[0] = maySend.getAsBoolean();
             return sent[0];
         };
         try {
-            ServiceClient.Answer answer = parts.clients()
+            ServiceClient.Response response = components
+                    .clients()
                     .services()
-                    .call(target.get(), call.kind().name(), call.callId(), call.body(), fresh, left(call), gate);
-            return answered(id, answer);
+                    .call(
+                            target.get(),
+                            call.kind().name(),
+                            call.callId(),
+                            call.body(),
+                            newConnection,
+                            remaining(call),
+                            sendCheck);
+            return toAttempt(id, response);
         } catch (TargetFailure e) {
-            boolean broken = sent[0] && e.reason() == TargetFailure.Cause.BROKEN;
-            return failed(id, e, sent[0], broken && parts.loads().hasRestarted(target.get(), known));
+            boolean connectionBroken = sent[0] && e.reason() == TargetFailure.Cause.BROKEN;
+            return failedAttempt(
+                    id,
+                    e,
+                    sent[0],
+                    connectionBroken && components.loads().hasRestarted(target.get(), incarnationBefore));
         }
     }
 
-    private Attempt answered(TargetId id, ServiceClient.Answer answer) {
-        int status = answer.status();
-        boolean whole = status >= SUCCESS && status < SERVER_ERROR && status != TIMEOUT && status != TOO_MANY_REQUESTS;
-        if (whole) {
-            CallResult result = CallResult.done(status, answer.body().getBytes(), id.value());
+    private Attempt toAttempt(TargetId id, ServiceClient.Response response) {
+        int status = response.status();
+        boolean conclusive =
+                status >= SUCCESS && status < SERVER_ERROR && status != TIMEOUT && status != TOO_MANY_REQUESTS;
+        if (conclusive) {
+            CallResult result = CallResult.done(status, response.body().getBytes(), id.value());
             return new Attempt(result, FlightEnd.DONE, Optional.of(id), true);
         }
-        CallResult result = failed(Outcome.UNKNOWN, Step.SEND, id.value(), "the target answered with status " + status);
+        CallResult result =
+                failedResult(Outcome.UNKNOWN, Step.SEND, id.value(), "the target answered with status " + status);
         return new Attempt(result, FlightEnd.FAILED, Optional.of(id), true);
     }
 
-    private Attempt failed(TargetId id, TargetFailure e, boolean sent, boolean crashed) {
+    private Attempt failedAttempt(TargetId id, TargetFailure e, boolean sent, boolean crashed) {
         if (e.reason() == TargetFailure.Cause.LEAVING) {
-            parts.targetLeaving(id);
+            components.markLeaving(id);
         }
-        boolean refused = e.reason().refused();
+        boolean refused = e.reason().isRefused();
         boolean mayHaveRun = sent && !refused;
         Outcome outcome = mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
         Step step = sent ? Step.SEND : Step.CONNECT;
-        FlightEnd away = e.reason().unreachable() ? FlightEnd.UNREACHABLE : FlightEnd.FAILED;
+        FlightEnd failureEnd = e.reason().isUnreachable() ? FlightEnd.UNREACHABLE : FlightEnd.FAILED;
         return new Attempt(
-                failed(outcome, step, id.value(), e.getMessage()),
-                refused ? FlightEnd.REFUSED : crashed ? FlightEnd.CRASHED : away,
+                failedResult(outcome, step, id.value(), e.getMessage()),
+                refused ? FlightEnd.REFUSED : crashed ? FlightEnd.CRASHED : failureEnd,
                 Optional.of(id),
                 mayHaveRun);
     }
@@ -238,7 +266,7 @@
         wait.future().await();
     }
 
-    private static CallResult failed(Outcome outcome, Step step, String peer, String message) {
+    private static CallResult failedResult(Outcome outcome, Step step, String peer, String message) {
         return CallResult.failed(outcome, step, peer, message);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/StreamTokens.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/StreamTokens.java
@@ -17,11 +17,12 @@
 import org.verbenatally.entry.key.Signature;
 
 /**
- * Writes and checks stream tokens. A token names the engine, the generation, the organisation and the kind, so that any
- * entry can resume a stream without stored state. The newest secret signs; all secrets verify, for key rollover.
+ * Signs and verifies stream tokens. A token names the engine, the generation, the organisation and the kind, so that
+ * any entry can resume a stream without stored state. The newest secret signs and all secrets verify, which allows key
+ * rotation.
  */
 public final class StreamTokens {
-    private static final byte FORM = 1;
+    private static final byte FORMAT_VERSION = 1;
     private static final int GENERATION_BYTES = 16;
 
     private static final int MAX_TOKEN_CHARS = 1_024;
@@ -29,7 +30,7 @@
     private final List<SecretKeySpec> secrets;
 
     /**
-     * What a token says.
+     * The claims of a token.
      *
      * @param target the engine
      * @param generation the generation
@@ -38,7 +39,11 @@
      */
     public record Claims(TargetId target, GenerationId generation, OrganisationId organisation, KindName kind) {}
 
-    /** Takes the secrets, the newest first. */
+    /**
+     * Creates an instance that uses the given secrets, newest first.
+     *
+     * @throws IllegalArgumentException if there are none
+     */
     public StreamTokens(List<String> secrets) {
         if (secrets.isEmpty()) {
             throw new IllegalArgumentException("streamKeys must not be empty");
@@ -48,61 +53,62 @@
                 .toList();
     }
 
-    /** Returns the token for the claims. */
-    public String write(Claims claims) {
+    /** Returns a signed token for the claims. */
+    public String sign(Claims claims) {
         byte[] target = claims.target().value().getBytes(StandardCharsets.US_ASCII);
         byte[] organisation = claims.organisation().value().getBytes(StandardCharsets.US_ASCII);
         byte[] kind = claims.kind().value().getBytes(StandardCharsets.US_ASCII);
         int length = 1 + GENERATION_BYTES + 3 + target.length + organisation.length + kind.length;
         ByteBuffer bytes = ByteBuffer.allocate(length + Signature.BYTES);
-        bytes.put(FORM).put(HexFormat.of().parseHex(claims.generation().value()));
-        put(bytes, target);
-        put(bytes, organisation);
-        put(bytes, kind);
+        bytes.put(FORMAT_VERSION)
+                .put(HexFormat.of().parseHex(claims.generation().value()));
+        putField(bytes, target);
+        putField(bytes, organisation);
+        putField(bytes, kind);
         bytes.put(Signature.sign(secrets.getFirst(), bytes.array(), length));
         return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes.array());
     }
 
-    private static void put(ByteBuffer bytes, byte[] part) {
-        bytes.put((byte) part.length).put(part);
+    private static void putField(ByteBuffer bytes, byte[] field) {
+        bytes.put((byte) field.length).put(field);
     }
 
-    /** Returns the claims of a token, or empty if no entry of this deployment signed it. */
-    public Optional<Claims> read(String token) {
+    /** Returns the claims of a token, or empty if it is malformed or not signed with one of the secrets. */
+    public Optional<Claims> verify(String token) {
         if (token.length() > MAX_TOKEN_CHARS) {
             return Optional.empty();
         }
         try {
             byte[] bytes = Base64.getUrlDecoder().decode(token);
             int length = bytes.length - Signature.BYTES;
-            if (length < 1 || bytes[0] != FORM || !isSigned(bytes)) {
+            if (length < 1 || bytes[0] != FORMAT_VERSION || !hasValidSignature(bytes)) {
                 return Optional.empty();
             }
             ByteBuffer in = ByteBuffer.wrap(bytes, 1, length - 1);
             byte[] generation = new byte[GENERATION_BYTES];
             in.get(generation);
             return Optional.of(new Claims(
-                    new TargetId(part(in)),
+                    new TargetId(readField(in)),
                     new GenerationId(HexFormat.of().formatHex(generation)),
-                    new OrganisationId(part(in)),
-                    new KindName(part(in))));
+                    new OrganisationId(readField(in)),
+                    new KindName(readField(in))));
         } catch (IllegalArgumentException | BufferUnderflowException e) {
             return Optional.empty();
         }
     }
 
-    private static String part(ByteBuffer in) {
-        // Ids are at most 128 bytes long, which a signed byte holds only without its sign.
-        byte[] part = new byte[Byte.toUnsignedInt(in.get())];
-        in.get(part);
-        return new String(part, StandardCharsets.US_ASCII);
+    private static String readField(ByteBuffer in) {
+        // Ids are up to 128 bytes long, so the length must be read as an unsigned byte.
+        byte[] field = new byte[Byte.toUnsignedInt(in.get())];
+        in.get(field);
+        return new String(field, StandardCharsets.US_ASCII);
     }
 
-    private boolean isSigned(byte[] bytes) {
-        boolean signed = false;
+    private boolean hasValidSignature(byte[] bytes) {
+        boolean valid = false;
         for (SecretKeySpec secret : secrets) {
-            signed |= Signature.isSigned(secret, bytes);
+            valid |= Signature.isSigned(secret, bytes);
         }
-        return signed;
+        return valid;
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -32,25 +32,26 @@
     private static final int PRECONDITION_REQUIRED = 428;
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
-    /** Leading part of a prompt by which requests that share cached memory are recognised. */
+    /** Characters of a prompt's prefix; its hash recognises requests that can share an engine's cached memory. */
     private static final int PREFIX_CHARS = 1_024;
 
-    private final CallerParts parts;
+    private final CallerComponents components;
     private final KeyedCalls keyedCalls;
     private final Vertx vertx;
-    private final ServiceCalls services;
+    private final ServiceCalls serviceCalls;
 
-    WorkHandler(CallerParts parts, KeyedCalls keyedCalls, Vertx vertx) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+    WorkHandler(CallerComponents components, KeyedCalls keyedCalls, Vertx vertx) {
+        this.components = Objects.requireNonNull(components, "components");
         this.keyedCalls = Objects.requireNonNull(keyedCalls, "keyedCalls");
         this.vertx = Objects.requireNonNull(vertx, "vertx");
-        this.services = new ServiceCalls(parts, vertx.getOrCreateContext());
+        this.serviceCalls = new ServiceCalls(components, vertx.getOrCreateContext());
     }
 
-    void work(Exchange exchange, String kindName) {
+    /** Handles a work request; the kind decides whether it runs on an engine or calls a plain service. */
+    void handleWork(Exchange exchange, String kindName) {
         Kind kind = kind(kindName);
-        Buffer body = exchange.body(deployment().limits().maxBodyBytes());
-        open(exchange, kind);
+        Buffer body = exchange.readBody(deployment().limits().maxBodyBytes());
+        openTrace(exchange, kind);
         if (kind.runsOn() == TargetType.ENGINE) {
             generate(exchange, kind, body);
         } else if (kind.repeatable()) {
@@ -60,14 +61,15 @@
         }
     }
 
-    /** Tells whether a kind of this name needs an idempotency key. */
+    /** Returns whether requests of the kind with this name need an idempotency key. */
     boolean needsKey(String kindName) {
         Kind kind = kind(kindName);
         return kind.runsOn() == TargetType.SERVICE && !kind.repeatable();
     }
 
-    private void open(Exchange exchange, Kind kind) {
-        exchange.trace(parts.log()
+    private void openTrace(Exchange exchange, Kind kind) {
+        exchange.setTrace(components
+                .log()
                 .open(
                         exchange.id(),
                         exchange.organisation().id().value(),
@@ -76,7 +78,8 @@
     }
 
     private Deployment deployment() {
-        return parts.config()
+        return components
+                .config()
                 .deployment()
                 .orElseThrow(() -> new ProblemException(Problem.refused(
                         UNAVAILABLE, "no-configuration", Step.ACCEPT, "this entry has no configuration yet")));
@@ -92,27 +95,33 @@
     }
 
     private void generate(Exchange exchange, Kind kind, Buffer body) {
-        JsonObject json = json(body);
-        Work work = work(exchange, kind, body, text(json, "prompt"), number(json, "maxTokens", kind.maxTokens()));
-        boolean stream = flag(json, "stream", kind.delivery() == Kind.Delivery.STREAM);
-        String prefer = exchange.request().getHeader("Prefer");
-        Answer answer;
-        if (prefer != null && prefer.contains("respond-async")) {
-            answer = new AsyncAnswer(exchange);
+        JsonObject json = parseObject(body);
+        GenerationRequest request = generationRequest(
+                exchange,
+                kind,
+                body,
+                requiredText(json, "prompt"),
+                optionalNumber(json, "maxTokens", kind.maxTokens()));
+        boolean stream = optionalFlag(json, "stream", kind.delivery() == Kind.Delivery.STREAM);
+        String preferHeader = exchange.request().getHeader("Prefer");
+        CallerResponse response;
+        if (preferHeader != null && preferHeader.contains("respond-async")) {
+            response = new AsyncResponse(exchange);
         } else if (stream && kind.delivery() == Kind.Delivery.STREAM) {
-            answer = new StreamAnswer(vertx, exchange, false);
+            response = new StreamResponse(vertx, exchange, false);
         } else {
-            answer = new WholeAnswer(
+            response = new CompleteResponse(
                     exchange,
                     (text, tokens) -> new JsonObject().put("text", text).put("tokens", tokens));
         }
-        new EngineRun(parts, vertx, exchange, answer, work).run();
+        new EngineRun(components, vertx, exchange, response, request).run();
     }
 
-    private Work work(Exchange exchange, Kind kind, Buffer body, String prompt, int maxTokens) {
+    private GenerationRequest generationRequest(
+            Exchange exchange, Kind kind, Buffer body, String prompt, int maxTokens) {
         byte[] prefix =
                 prompt.substring(0, Math.min(PREFIX_CHARS, prompt.length())).getBytes(StandardCharsets.UTF_8);
-        return new Work(
+        return new GenerationRequest(
                 kind,
                 exchange.organisation(),
                 prompt,
@@ -123,40 +132,45 @@
                 exchange.deadlineNanos(kind.deadline()));
     }
 
-    /** Maps a completion-style request to the organisation's default kind. */
-    void completion(Exchange exchange) {
+    /** Handles a completion request, which runs as the organisation's default kind. */
+    void handleCompletion(Exchange exchange) {
         KindName name = exchange.organisation()
                 .defaultKind()
-                .orElseThrow(() -> invalid("the organisation has no default kind for completions"));
+                .orElseThrow(() -> invalidRequest("the organisation has no default kind for completions"));
         Kind kind = kind(name.value());
         if (kind.runsOn() != TargetType.ENGINE) {
-            throw invalid("the organisation's default kind does not run on engines");
+            throw invalidRequest("the organisation's default kind does not run on engines");
         }
-        Buffer body = exchange.body(deployment().limits().maxBodyBytes());
-        open(exchange, kind);
-        JsonObject json = json(body);
+        Buffer body = exchange.readBody(deployment().limits().maxBodyBytes());
+        openTrace(exchange, kind);
+        JsonObject json = parseObject(body);
         String model = kind.model().orElseThrow().value();
-        Object asked = json.getValue("model");
-        if (asked != null && !asked.equals(model)) {
-            throw invalid("model must be " + model);
+        Object requestedModel = json.getValue("model");
+        if (requestedModel != null && !requestedModel.equals(model)) {
+            throw invalidRequest("model must be " + model);
         }
-        Work work = work(exchange, kind, body, text(json, "prompt"), number(json, "max_tokens", kind.maxTokens()));
-        Completion form = new Completion(exchange.id(), model);
-        Answer answer = flag(json, "stream", false)
-                ? new StreamAnswer(vertx, exchange, false, form)
-                : new WholeAnswer(exchange, form::whole);
-        new EngineRun(parts, vertx, exchange, answer, work).run();
+        GenerationRequest request = generationRequest(
+                exchange,
+                kind,
+                body,
+                requiredText(json, "prompt"),
+                optionalNumber(json, "max_tokens", kind.maxTokens()));
+        CompletionFormat format = new CompletionFormat(exchange.id(), model);
+        CallerResponse response = optionalFlag(json, "stream", false)
+                ? new StreamResponse(vertx, exchange, false, format)
+                : new CompleteResponse(exchange, format::body);
+        new EngineRun(components, vertx, exchange, response, request).run();
     }
 
     private void callIdempotent(Exchange exchange, Kind kind, Buffer body) {
-        json(body);
+        parseObject(body);
         ServiceCalls.Call call = new ServiceCalls.Call(
                 kind,
                 exchange.organisation(),
                 UUID.randomUUID().toString(),
                 body,
                 exchange.deadlineNanos(kind.deadline()));
-        answer(exchange, kind, new IdempotentCall(services, vertx, exchange, call).run());
+        respond(exchange, kind, new IdempotentCall(serviceCalls, vertx, exchange, call).run());
     }
 
     private void callKeyed(Exchange exchange, Kind kind, Buffer body) {
@@ -171,7 +185,7 @@
                     Step.ACCEPT,
                     "the body of a call with a key must be at most " + KeyedCalls.MAX_BODY_BYTES + " bytes"));
         }
-        json(body);
+        parseObject(body);
         CallResult result = Future.fromCompletionStage(
                         keyedCalls.call(new CallRunner.Call(
                                 exchange.id(),
@@ -182,8 +196,8 @@
                                 body.getBytes())),
                         vertx.getOrCreateContext())
                 .await();
-        exchange.decidedByOwner();
-        answer(exchange, kind, result);
+        exchange.markDecidedByOwner();
+        respond(exchange, kind, result);
     }
 
     private Problem keyRequired(Exchange exchange, Kind kind) {
@@ -191,19 +205,19 @@
                 PRECONDITION_REQUIRED, "key-required", Step.ACCEPT, "the kind needs an Idempotency-Key");
         return keyedCalls
                 .issue(exchange.organisation().id(), kind.name())
-                .map(key -> problem.with("key", key))
+                .map(key -> problem.withMember("key", key))
                 .orElse(problem);
     }
 
-    private void answer(Exchange exchange, Kind kind, CallResult result) {
-        parts.metrics().answered(kind.name(), result.outcome());
+    private void respond(Exchange exchange, Kind kind, CallResult result) {
+        components.metrics().answered(kind.name(), result.outcome());
         Service service =
                 switch (result.outcome()) {
                     case DONE -> Service.MET;
                     case NOT_RUN -> Service.REFUSED;
                     case UNKNOWN -> Service.LOST;
                 };
-        parts.metrics().budget().count(kind.name(), exchange.organisation().id(), service);
+        components.metrics().budget().count(kind.name(), exchange.organisation().id(), service);
         if (result.outcome() == Outcome.DONE) {
             exchange.note("answered by " + result.peer() + " with status " + result.status());
             exchange.succeed(result.status(), "application/json", Buffer.buffer(result.body()));
@@ -215,9 +229,10 @@
         String type = step == Step.ACCEPT ? "invalid-key" : notRun ? "not-run" : "outcome-unknown";
         Problem problem = Problem.refused(status, type, step, result.message()).withOutcome(result.outcome());
         throw new ProblemException(
-                step == Step.ACCEPT ? problem : problem.at(result.peer()).withRetryAfter(Duration.ofSeconds(1)));
+                step == Step.ACCEPT ? problem : problem.withPeer(result.peer()).withRetryAfter(Duration.ofSeconds(1)));
     }
 
+    /** Issues an idempotency key for a kind. */
     void issueKey(Exchange exchange, String kindName) {
         Kind kind = kind(kindName);
         String key = keyedCalls
@@ -228,44 +243,44 @@
         exchange.succeed(CREATED, new JsonObject().put("key", key));
     }
 
-    private static JsonObject json(Buffer body) {
+    private static JsonObject parseObject(Buffer body) {
         try {
             return new JsonObject(body);
         } catch (DecodeException | ClassCastException e) {
-            throw invalid("the body must be a JSON object");
+            throw invalidRequest("the body must be a JSON object");
         }
     }
 
-    private static String text(JsonObject json, String field) {
+    private static String requiredText(JsonObject json, String field) {
         if (json.getValue(field) instanceof String text) {
             return text;
         }
-        throw invalid(field + " must be a text");
+        throw invalidRequest(field + " must be a string");
     }
 
-    private static int number(JsonObject json, String field, int fallback) {
+    private static int optionalNumber(JsonObject json, String field, int defaultValue) {
         Object value = json.getValue(field);
         if (value == null) {
-            return fallback;
+            return defaultValue;
         }
         if (value instanceof Integer number && number > 0) {
             return number;
         }
-        throw invalid(field + " must be a positive whole number");
+        throw invalidRequest(field + " must be a positive integer");
     }
 
-    private static boolean flag(JsonObject json, String field, boolean fallback) {
+    private static boolean optionalFlag(JsonObject json, String field, boolean defaultValue) {
         Object value = json.getValue(field);
         if (value == null) {
-            return fallback;
+            return defaultValue;
         }
         if (value instanceof Boolean flag) {
             return flag;
         }
-        throw invalid(field + " must be true or false");
+        throw invalidRequest(field + " must be true or false");
     }
 
-    private static ProblemException invalid(String detail) {
+    private static ProblemException invalidRequest(String detail) {
         return new ProblemException(Problem.refused(BAD_REQUEST, "invalid-request", Step.ACCEPT, detail));
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/package-info.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/package-info.java
@@ -1,2 +1,2 @@
-/** The callers' HTTP interface: authentication, limits, streams, whole answers and problem documents. */
+/** The callers' HTTP interface: authentication, limits, streams, complete responses and problem documents. */
 package org.verbenatally.entry.caller;
--- a/entry/src/main/java/org/verbenatally/entry/target/EngineClient.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/EngineClient.java
@@ -15,8 +15,8 @@
 import org.verbenatally.core.OrganisationId;
 
 /**
- * Client of the engines' generation protocol. Each attachment has its own connection: an idle pooled connection may
- * have gone silent. Methods wait and must run in a virtual-thread task.
+ * Client of the engines' generation protocol. Each attachment uses a new connection, because an idle pooled one may
+ * have failed unnoticed. Methods wait and must run in a virtual-thread task.
  */
 public final class EngineClient {
     private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
@@ -26,20 +26,20 @@
     private static final int CONFLICT = 409;
     private static final int UNAVAILABLE = 503;
 
-    private final HttpExchange http;
+    private final TargetHttpClient http;
 
     /**
      * A generation to start.
      *
-     * @param generation its id, new for each attempt
-     * @param model the model that is to run it
+     * @param generation id of the generation, new for each attempt
+     * @param model the model to run
      * @param adapter the adapter on the model, if any
      * @param prompt the prompt
-     * @param maxTokens longest output, in tokens
-     * @param priority higher numbers go first
-     * @param organisation whose work it is
+     * @param maxTokens maximum length of the output, in tokens
+     * @param priority priority on the engine; higher numbers run first
+     * @param organisation organisation whose request it is
      */
-    public record Start(
+    public record StartRequest(
             GenerationId generation,
             ModelName model,
             Optional<String> adapter,
@@ -48,16 +48,16 @@
             int priority,
             OrganisationId organisation) {}
 
-    EngineClient(HttpExchange http) {
+    EngineClient(TargetHttpClient http) {
         this.http = Objects.requireNonNull(http, "http");
     }
 
     /**
      * Starts a generation and attaches to it.
      *
-     * @throws TargetFailure if the engine refused, could not be reached or answered out of protocol
+     * @throws TargetFailure if the engine refused the request, could not be reached or violated the protocol
      */
-    public TokenFeed start(Target target, Start start) throws TargetFailure {
+    public TokenFeed start(Target target, StartRequest start) throws TargetFailure {
         JsonObject body = new JsonObject()
                 .put("generation", start.generation().value())
                 .put("model", start.model().value())
@@ -83,7 +83,7 @@
     }
 
     private TokenFeed attach(Target target, HttpClientRequest request, Buffer body) throws TargetFailure {
-        HttpClientResponse response = http.send(target, request, body, TokenFeed.SILENCE);
+        HttpClientResponse response = http.send(target, request, body, TokenFeed.SILENCE_TIMEOUT);
         if (response.statusCode() != OK) {
             throw refusal(target, request, response);
         }
@@ -107,17 +107,17 @@
             return new TargetFailure(
                     target.id(), TargetFailure.Cause.UNKNOWN_GENERATION, "engine does not know the generation");
         }
-        Buffer body = http.body(target, request, response, MAX_REFUSAL_BYTES, TokenFeed.SILENCE);
+        Buffer body = http.readBody(target, request, response, MAX_REFUSAL_BYTES, TokenFeed.SILENCE_TIMEOUT);
         return status == UNAVAILABLE
-                ? Refusals.read(target.id(), body)
+                ? Refusals.parse(target.id(), body)
                 : new TargetFailure(target.id(), TargetFailure.Cause.BAD_ANSWER, "unexpected status " + status);
     }
 
     /**
      * Cancels a generation unless a newer attachment exists.
      *
-     * @return whether the engine took the cancel; {@code false} if another entry has resumed the generation since
-     * @throws TargetFailure if the engine could not be reached or answered out of protocol
+     * @return whether the engine accepted the cancel; {@code false} if another entry has resumed the generation since
+     * @throws TargetFailure if the engine could not be reached or violated the protocol
      */
     public boolean cancel(Target target, GenerationId generation, long attachment) throws TargetFailure {
         HttpClientRequest request = http.connect(
--- a/entry/src/main/java/org/verbenatally/entry/target/EngineStream.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/EngineStream.java
@@ -11,20 +11,20 @@
 import org.verbenatally.core.GenerationId;
 
 /**
- * One generation, read in order and resumed on a new connection when the present one is lost or silent. One
- * virtual-thread task reads it; {@link #close} may be called from any thread.
+ * Reads one generation in order and resumes it on a new connection when the current one is lost or receives no data.
+ * One virtual-thread task reads it; {@link #close} may be called from any thread.
  */
 public final class EngineStream {
     private static final Logger LOG = Logger.getLogger(EngineStream.class);
 
-    /** The engine decodes for 30 s without a connection; a little less leaves time for the resume itself. */
-    private static final Duration RESUME_BOUND = Duration.ofSeconds(28);
+    /** An engine continues to decode for 30 s without a connection; 28 s leave time for the resume itself. */
+    private static final Duration RESUME_TIMEOUT = Duration.ofSeconds(28);
 
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
-    /** Two refused connections in a row, one pause apart: no process listens, so the generation is gone. */
-    private static final int REFUSALS_MEAN_DEAD = 2;
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
+    /** Two refused connections in a row, one delay apart, show that no process listens: the generation is lost. */
+    private static final int REFUSALS_UNTIL_CRASHED = 2;
 
-    private static final int ATTEMPTS_BEFORE_FIRST_TOKEN = 2;
+    private static final int MAX_ATTEMPTS_BEFORE_FIRST_TOKEN = 2;
 
     private final Vertx vertx;
     private final EngineClient client;
@@ -32,55 +32,55 @@
     private final GenerationId generation;
     private final long maxTokens;
     private final long firstAttachment;
-    private final BooleanSupplier restarted;
+    private final BooleanSupplier hasRestarted;
     private volatile TokenFeed feed;
     private volatile boolean closed;
     private long nextOffset;
-    private long gaps;
-    private int resumes;
+    private long attachmentGaps;
+    private int resumeCount;
 
     /** The generation cannot be read further. */
-    public static final class GenerationLost extends Exception {
+    public static final class GenerationLostException extends Exception {
         private static final long serialVersionUID = 1;
 
         private final Reason reason;
 
-        /** Why it cannot be read. */
+        /** Why the generation cannot be read further. */
         public enum Reason {
-            /** The engine is gone or does not know the generation. */
+            /** The engine does not respond or does not know the generation. */
             LOST,
-            /** The engine process refused connections: it has crashed. */
+            /** The engine process has crashed: it refuses connections or has restarted. */
             CRASHED,
-            /** The engine's tokens are not those of one whole generation. */
+            /** The engine's events violate the protocol or are not the tokens of one complete generation. */
             INVALID,
-            /** Another entry reads it now. */
+            /** Another entry now reads the generation. */
             SUPERSEDED,
             /** {@link EngineStream#close} was called. */
             CLOSED
         }
 
-        GenerationLost(Reason reason, String message) {
+        GenerationLostException(Reason reason, String message) {
             super(message);
             this.reason = reason;
         }
 
-        /** Returns why. */
+        /** Returns why the generation cannot be read further. */
         public Reason reason() {
             return reason;
         }
     }
 
     /**
-     * Takes over an attachment.
+     * Creates a stream that reads from an existing attachment.
      *
-     * @param vertx for pauses between attempts to resume
+     * @param vertx runs the delays between attempts to resume
      * @param client client of the engines
      * @param target the engine
      * @param generation the generation
-     * @param feed the present attachment
+     * @param feed the current attachment
      * @param from offset of the first token to read
-     * @param maxTokens most tokens that the generation may have
-     * @param restarted asked, after the engine has forgotten the generation, whether it has restarted
+     * @param maxTokens maximum length of the generation, in tokens
+     * @param hasRestarted returns whether the engine has restarted; queried when it no longer knows the generation
      */
     public EngineStream(
             Vertx vertx,
@@ -90,7 +90,7 @@
             TokenFeed feed,
             long from,
             long maxTokens,
-            BooleanSupplier restarted) {
+            BooleanSupplier hasRestarted) {
         this.vertx = Objects.requireNonNull(vertx, "vertx");
         this.client = Objects.requireNonNull(client, "client");
         this.target = Objects.requireNonNull(target, "target");
@@ -98,7 +98,7 @@
         this.feed = Objects.requireNonNull(feed, "feed");
         this.nextOffset = from;
         this.maxTokens = maxTokens;
-        this.restarted = Objects.requireNonNull(restarted, "restarted");
+        this.hasRestarted = Objects.requireNonNull(hasRestarted, "hasRestarted");
         this.firstAttachment = feed.attachment();
     }
 
@@ -117,23 +117,23 @@
         return nextOffset;
     }
 
-    /** Returns how often the stream was resumed. */
-    public int resumes() {
-        return resumes;
+    /** Returns how often the stream has been resumed. */
+    public int resumeCount() {
+        return resumeCount;
     }
 
-    /** Returns the number of the present attachment. */
+    /** Returns the number of the current attachment. */
     public long attachment() {
         return feed.attachment();
     }
 
     /**
-     * Waits for the next token, or the end.
+     * Waits for the next token or the end.
      *
      * @return a {@link TokenFeed.Token} or a {@link TokenFeed.End}
      * @throws GenerationLost if the generation cannot be read further
      */
-    public TokenFeed.Item next() throws GenerationLost {
+    public TokenFeed.Item next() throws GenerationLostException {
         while (true) {
             switch (feed.next()) {
                 case TokenFeed.Token token -> {
@@ -143,21 +143,22 @@
                 }
                 case TokenFeed.End end -> {
                     if (end.tokens() != nextOffset) {
-                        throw invalid("engine ended after " + end.tokens() + " tokens, " + nextOffset + " arrived");
+                        throw invalid(
+                                "engine ended after " + end.tokens() + " tokens, but " + nextOffset + " were received");
                     }
                     return end;
                 }
-                case TokenFeed.Lost lost -> resume(lost);
+                case TokenFeed.Disconnected disconnected -> resume(disconnected);
             }
         }
     }
 
-    private boolean accept(TokenFeed.Token token) throws GenerationLost {
+    private boolean accept(TokenFeed.Token token) throws GenerationLostException {
         if (token.offset() < nextOffset) {
             return false;
         }
         if (token.offset() > nextOffset) {
-            throw invalid("token " + token.offset() + " arrived in place of " + nextOffset);
+            throw invalid("token " + token.offset() + " was received instead of " + nextOffset);
         }
         if (nextOffset >= maxTokens) {
             throw invalid("engine generated more than " + maxTokens + " tokens");
@@ -166,80 +167,83 @@
         return true;
     }
 
-    private GenerationLost invalid(String message) {
+    private GenerationLostException invalid(String message) {
         feed.close();
-        return new GenerationLost(GenerationLost.Reason.INVALID, message);
+        return new GenerationLostException(GenerationLostException.Reason.INVALID, message);
     }
 
-    private void resume(TokenFeed.Lost lost) throws GenerationLost {
-        if (lost.cause() == TargetFailure.Cause.BAD_ANSWER) {
-            throw invalid(lost.message());
+    private void resume(TokenFeed.Disconnected disconnected) throws GenerationLostException {
+        if (disconnected.cause() == TargetFailure.Cause.BAD_ANSWER) {
+            throw invalid(disconnected.message());
         }
-        LOG.debugf("stream: resuming at offset %d on %s: %s", nextOffset, target.id(), lost.message());
+        LOG.debugf("stream: resuming at offset %d on %s: %s", nextOffset, target.id(), disconnected.message());
         long start = System.nanoTime();
         int attempts = 0;
-        int refused = 0;
+        int refusedConnections = 0;
         while (!closed) {
             attempts++;
             TargetFailure failure;
             try {
-                take(client.resume(target, generation, nextOffset));
+                switchTo(client.resume(target, generation, nextOffset));
                 return;
             } catch (TargetFailure e) {
                 failure = e;
             }
-            refused = failure.reason() == TargetFailure.Cause.CONNECTION_REFUSED ? refused + 1 : 0;
-            check(failure, refused);
-            boolean tokensAtStake = nextOffset > 0;
-            if ((!tokensAtStake && attempts >= ATTEMPTS_BEFORE_FIRST_TOKEN)
-                    || System.nanoTime() - start > RESUME_BOUND.toNanos()) {
-                throw new GenerationLost(GenerationLost.Reason.LOST, "engine does not answer: " + failure.getMessage());
+            refusedConnections =
+                    failure.reason() == TargetFailure.Cause.CONNECTION_REFUSED ? refusedConnections + 1 : 0;
+            throwIfFinal(failure, refusedConnections);
+            boolean anyTokenReceived = nextOffset > 0;
+            if ((!anyTokenReceived && attempts >= MAX_ATTEMPTS_BEFORE_FIRST_TOKEN)
+                    || System.nanoTime() - start > RESUME_TIMEOUT.toNanos()) {
+                throw new GenerationLostException(
+                        GenerationLostException.Reason.LOST, "engine does not respond: " + failure.getMessage());
             }
             pause();
         }
-        throw new GenerationLost(GenerationLost.Reason.CLOSED, "closed here");
+        throw new GenerationLostException(GenerationLostException.Reason.CLOSED, "closed by this entry");
     }
 
-    private void check(TargetFailure failure, int refused) throws GenerationLost {
-        if (refused >= REFUSALS_MEAN_DEAD) {
-            throw new GenerationLost(GenerationLost.Reason.CRASHED, "engine refuses connections");
+    private void throwIfFinal(TargetFailure failure, int refusedConnections) throws GenerationLostException {
+        if (refusedConnections >= REFUSALS_UNTIL_CRASHED) {
+            throw new GenerationLostException(GenerationLostException.Reason.CRASHED, "engine refuses connections");
         }
         if (failure.reason() == TargetFailure.Cause.UNKNOWN_GENERATION) {
-            // Without a restart the generation was cancelled or evicted, which is no sign of a crash.
-            throw restarted.getAsBoolean()
-                    ? new GenerationLost(GenerationLost.Reason.CRASHED, "engine has restarted")
-                    : new GenerationLost(GenerationLost.Reason.LOST, failure.getMessage());
+            // Without a restart, the generation was cancelled or evicted, which is no sign of a crash.
+            throw hasRestarted.getAsBoolean()
+                    ? new GenerationLostException(GenerationLostException.Reason.CRASHED, "engine has restarted")
+                    : new GenerationLostException(GenerationLostException.Reason.LOST, failure.getMessage());
         }
         if (failure.reason() == TargetFailure.Cause.BAD_ANSWER) {
-            throw new GenerationLost(GenerationLost.Reason.INVALID, failure.getMessage());
+            throw new GenerationLostException(GenerationLostException.Reason.INVALID, failure.getMessage());
         }
     }
 
     /**
-     * Takes a new attachment. If somebody else attached in between, a caller has resumed at another entry, and the one
-     * that came later must win: each side tolerates as many such gaps as callers had attached before it, so the
-     * earlier side yields first.
+     * Switches to a new attachment. If another one was made in between, the caller has resumed at another entry, and
+     * the later of the two streams must win. Each stream tolerates as many such gaps as there were attachments before
+     * its first one, so the earlier stream yields first.
      */
-    private void take(TokenFeed newer) throws GenerationLost {
-        long between = newer.attachment() - feed.attachment() - 1;
-        feed = newer;
-        resumes++;
+    private void switchTo(TokenFeed newFeed) throws GenerationLostException {
+        long interveningAttachments = newFeed.attachment() - feed.attachment() - 1;
+        feed = newFeed;
+        resumeCount++;
         if (closed) {
-            newer.close();
+            newFeed.close();
         }
-        if (between > 0 && ++gaps >= firstAttachment) {
-            newer.close();
-            throw new GenerationLost(GenerationLost.Reason.SUPERSEDED, "another entry reads the generation now");
+        if (interveningAttachments > 0 && ++attachmentGaps >= firstAttachment) {
+            newFeed.close();
+            throw new GenerationLostException(
+                    GenerationLostException.Reason.SUPERSEDED, "another entry now reads the generation");
         }
     }
 
     private void pause() {
-        Promise<Void> wait = Promise.promise();
-        vertx.setTimer(RETRY_PAUSE.toMillis(), id -> wait.complete());
-        wait.future().await();
+        Promise<Void> delay = Promise.promise();
+        vertx.setTimer(RETRY_DELAY.toMillis(), id -> delay.complete());
+        delay.future().await();
     }
 
-    /** Ends the reading; the engine continues to decode. */
+    /** Stops reading; the engine continues to decode. */
     public void close() {
         closed = true;
         feed.close();
@@ -250,10 +254,11 @@
         long attachment = feed.attachment();
         close();
         try {
-            boolean taken = client.cancel(target, generation, attachment);
-            LOG.debugf("stream: cancel on %s was %s", target.id(), taken ? "taken" : "refused: resumed elsewhere");
+            boolean accepted = client.cancel(target, generation, attachment);
+            LOG.debugf(
+                    "stream: cancel on %s was %s", target.id(), accepted ? "accepted" : "refused: resumed elsewhere");
         } catch (TargetFailure e) {
-            // The engine ends a generation without a connection by itself.
+            // The engine ends a generation by itself if no connection reads it.
             LOG.debugf("stream: cancel on %s failed: %s", target.id(), e.getMessage());
         }
     }
--- a/entry/src/main/java/org/verbenatally/entry/target/EventParser.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/EventParser.java
@@ -6,17 +6,17 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Splits the bytes of a {@code text/event-stream} body into events. Not thread-safe. */
+/** Parses the bytes of a {@code text/event-stream} body into events. Not thread-safe. */
 final class EventParser {
-    /** Longest line; a token is a few bytes, so a longer line is a fault of the sender. */
+    /** Maximum length of a line; a token takes only a few bytes, so a longer line is an error of the sender. */
     static final int MAX_LINE_BYTES = 65_536;
 
-    private final Consumer<Event> sink;
-    private final ByteArrayOutputStream line = new ByteArrayOutputStream(128);
+    private final Consumer<Event> onEvent;
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream(128);
     private String id = "";
     private String name = "";
     private StringBuilder data;
-    private boolean fields;
+    private boolean hasFields;
 
     /**
      * One event.
@@ -27,56 +27,56 @@
      */
     record Event(String id, String name, String data) {}
 
-    EventParser(Consumer<Event> sink) {
-        this.sink = sink;
+    EventParser(Consumer<Event> onEvent) {
+        this.onEvent = onEvent;
     }
 
     /**
-     * Takes the next bytes.
+     * Parses the next chunk of the body.
      *
-     * @throws IllegalArgumentException if a line is too long
+     * @throws IllegalArgumentException if a line or the data of an event is too long
      */
-    void feed(Buffer bytes) {
-        for (int i = 0; i < bytes.length(); i++) {
-            byte b = bytes.getByte(i);
+    void parse(Buffer chunk) {
+        for (int i = 0; i < chunk.length(); i++) {
+            byte b = chunk.getByte(i);
             if (b == '\n') {
                 endLine();
             } else {
-                if (line.size() >= MAX_LINE_BYTES) {
+                if (lineBuffer.size() >= MAX_LINE_BYTES) {
                     throw new IllegalArgumentException("event line is longer than " + MAX_LINE_BYTES + " bytes");
                 }
-                line.write(b);
+                lineBuffer.write(b);
             }
         }
     }
 
     private void endLine() {
-        String text = line.toString(StandardCharsets.UTF_8);
-        line.reset();
-        if (text.endsWith("\r")) {
-            text = text.substring(0, text.length() - 1);
+        String line = lineBuffer.toString(StandardCharsets.UTF_8);
+        lineBuffer.reset();
+        if (line.endsWith("\r")) {
+            line = line.substring(0, line.length() - 1);
         }
-        if (text.isEmpty()) {
+        if (line.isEmpty()) {
             dispatch();
-        } else if (text.charAt(0) != ':') {
-            field(text);
+        } else if (line.charAt(0) != ':') {
+            parseField(line);
         }
     }
 
-    private void field(String text) {
-        int colon = text.indexOf(':');
-        String key = colon < 0 ? text : text.substring(0, colon);
-        String value = colon < 0 ? "" : text.substring(colon + 1);
+    private void parseField(String line) {
+        int colon = line.indexOf(':');
+        String fieldName = colon < 0 ? line : line.substring(0, colon);
+        String value = colon < 0 ? "" : line.substring(colon + 1);
         if (value.startsWith(" ")) {
             value = value.substring(1);
         }
-        fields = true;
-        switch (key) {
+        hasFields = true;
+        switch (fieldName) {
             case "id" -> id = value;
             case "event" -> name = value;
             case "data" -> appendData(value);
             default -> {
-                // Unknown fields are ignored, as the format demands.
+                // Unknown fields are ignored, as the format requires.
             }
         }
     }
@@ -93,14 +93,14 @@
     }
 
     private void dispatch() {
-        if (!fields) {
+        if (!hasFields) {
             return;
         }
         Event event = new Event(id, name, data == null ? "" : data.toString());
         id = "";
         name = "";
         data = null;
-        fields = false;
-        sink.accept(event);
+        hasFields = false;
+        onEvent.accept(event);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/target/LoadPoller.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/LoadPoller.java
@@ -32,42 +32,42 @@
 import org.verbenatally.time.TimerService;
 
 /**
- * Reads the load report of each target about every 500 ms. With many targets the period grows, so that the traffic of
- * one entry stays bounded. A report with an invalid field is dropped, which affects only its target.
+ * Polls the load report of each target about every 500 ms. With many targets the period grows, so that the traffic of
+ * one entry stays bounded. A report with an invalid field is ignored, which affects only its target.
  */
 public final class LoadPoller {
     private static final Logger LOG = Logger.getLogger(LoadPoller.class);
-    private static final Duration TICK = Duration.ofMillis(100);
-    private static final Duration PERIOD = Duration.ofMillis(500);
+    private static final Duration CHECK_PERIOD = Duration.ofMillis(100);
+    private static final Duration POLL_PERIOD = Duration.ofMillis(500);
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    /** A report takes about 300 bytes; 48 a second leave room for gossip within 18 KB/s. */
+    /** A report takes about 300 bytes, so 48 per second leave bandwidth for gossip within 18 KB/s. */
     private static final int POLLS_PER_SECOND = 48;
 
-    private static final int MAX_BYTES = 16_384;
+    private static final int MAX_REPORT_BYTES = 16_384;
     private static final int MAX_MODELS = 256;
-    private static final long MAX_COUNT = 10_000_000;
+    private static final long MAX_REQUESTS = 10_000_000;
     private static final long MAX_TOKENS = 1_000_000_000_000L;
     private static final int OK = 200;
 
-    private final HttpExchange http;
+    private final TargetHttpClient http;
     private final Context context;
     private final TimerService timer;
     private final ConfigHolder<Deployment> config;
     private final TargetTable targets;
     private final Consumer<TargetId> onLeaving;
-    private final Map<TargetId, Long> nextNanos = new ConcurrentHashMap<>();
-    private final Set<TargetId> polling = ConcurrentHashMap.newKeySet();
+    private final Map<TargetId, Long> nextPollNanos = new ConcurrentHashMap<>();
+    private final Set<TargetId> activePolls = ConcurrentHashMap.newKeySet();
     private final Map<TargetId, Incarnation> incarnations = new ConcurrentHashMap<>();
 
     /**
-     * Creates a poller that does nothing yet.
+     * Creates a poller that has not been started.
      *
-     * @param clients clients whose connections it uses
+     * @param clients clients of the targets, whose connections the poller shares
      * @param context context of a virtual-thread verticle
      * @param timer timer service
-     * @param config names the targets
-     * @param targets takes the reports
-     * @param onLeaving told once when a target says that it is leaving
+     * @param config configuration that names the targets
+     * @param targets state of the targets, which receives the reports
+     * @param onLeaving called once when a target reports that it is leaving
      */
     public LoadPoller(
             TargetClients clients,
@@ -84,24 +84,24 @@
         this.onLeaving = Objects.requireNonNull(onLeaving, "onLeaving");
     }
 
-    /** Starts to poll. */
+    /** Starts polling. */
     public void start() {
-        timer.every(TICK, tick -> config.deployment().ifPresent(this::pollDue));
+        timer.every(CHECK_PERIOD, tick -> config.deployment().ifPresent(this::pollDue));
     }
 
     private void pollDue(Deployment deployment) {
         long now = timer.nanos();
         int count = deployment.targets().size();
-        long period = Math.max(PERIOD.toNanos(), count * TimeUnit.SECONDS.toNanos(1) / POLLS_PER_SECOND);
-        nextNanos.keySet().retainAll(deployment.targets().keySet());
+        long periodNanos = Math.max(POLL_PERIOD.toNanos(), count * TimeUnit.SECONDS.toNanos(1) / POLLS_PER_SECOND);
+        nextPollNanos.keySet().retainAll(deployment.targets().keySet());
         incarnations.keySet().retainAll(deployment.targets().keySet());
         int index = 0;
         for (Target target : deployment.targets().values()) {
-            // The first polls are spread over the period.
-            long first = now + period * index++ / count;
-            long due = nextNanos.computeIfAbsent(target.id(), id -> first);
-            if (now - due >= 0 && polling.add(target.id())) {
-                nextNanos.put(target.id(), now + period);
+            // Distribute the first polls evenly over the period.
+            long firstPollNanos = now + periodNanos * index++ / count;
+            long dueNanos = nextPollNanos.computeIfAbsent(target.id(), id -> firstPollNanos);
+            if (now - dueNanos >= 0 && activePolls.add(target.id())) {
+                nextPollNanos.put(target.id(), now + periodNanos);
                 context.runOnContext(v -> poll(target));
             }
         }
@@ -120,40 +120,43 @@
         } catch (TargetFailure e) {
             LOG.debugf("target: no load report from %s: %s", target.id(), e.getMessage());
         } catch (RuntimeException e) {
-            LOG.warnf(e, "target: load report of %s could not be taken", target.id());
+            LOG.warnf(e, "target: cannot process the load report of %s", target.id());
         } finally {
-            polling.remove(target.id());
+            activePolls.remove(target.id());
         }
     }
 
-    /** Returns the run of a target by its latest report. */
+    /** Returns the incarnation of a target according to its latest report, or empty if none has been read. */
     public Optional<Incarnation> incarnation(TargetId target) {
         return Optional.ofNullable(incarnations.get(target));
     }
 
-    /** Tells whether a target now runs as another incarnation; waits and must run in a virtual-thread task. */
-    public boolean hasRestarted(Target target, Optional<Incarnation> before) {
-        if (before.isEmpty()) {
+    /**
+     * Returns whether a target now runs as another incarnation or refuses connections; {@code false} if the previous
+     * incarnation is unknown or no report can be read. Waits and must run in a virtual-thread task.
+     */
+    public boolean hasRestarted(Target target, Optional<Incarnation> previous) {
+        if (previous.isEmpty()) {
             return false;
         }
         try {
             Incarnation now = fetch(target).incarnation();
             incarnations.put(target.id(), now);
-            return !now.equals(before.get());
+            return !now.equals(previous.get());
         } catch (TargetFailure e) {
             return e.reason() == TargetFailure.Cause.CONNECTION_REFUSED;
         }
     }
 
     private ReportedLoad fetch(Target target) throws TargetFailure {
-        HttpClientRequest request = http.reuse(target, HttpMethod.GET, "/v1/load");
+        HttpClientRequest request = http.connectPooled(target, HttpMethod.GET, "/v1/load");
         HttpClientResponse response = http.send(target, request, null, TIMEOUT);
-        Buffer body = http.body(target, request, response, MAX_BYTES, TIMEOUT);
+        Buffer body = http.readBody(target, request, response, MAX_REPORT_BYTES, TIMEOUT);
         try {
             if (response.statusCode() != OK) {
                 throw new IllegalArgumentException("status is " + response.statusCode());
             }
-            return read(target, new JsonObject(body));
+            return parse(target, new JsonObject(body));
         } catch (DecodeException | ClassCastException e) {
             throw new TargetFailure(target.id(), TargetFailure.Cause.BAD_ANSWER, "report is malformed", e);
         } catch (IllegalArgumentException e) {
@@ -161,10 +164,14 @@
         }
     }
 
-    /** Checks each field; the error names the field. */
-    static ReportedLoad read(Target target, JsonObject json) {
-        Object claimed = json.getValue("target");
-        if (claimed != null && !claimed.equals(target.id().value())) {
+    /**
+     * Parses a load report.
+     *
+     * @throws IllegalArgumentException if a field is invalid; the message starts with the field's name
+     */
+    static ReportedLoad parse(Target target, JsonObject json) {
+        Object reportedTarget = json.getValue("target");
+        if (reportedTarget != null && !reportedTarget.equals(target.id().value())) {
             throw new IllegalArgumentException("target must be " + target.id());
         }
         boolean engine = target.type() == TargetType.ENGINE;
@@ -172,8 +179,8 @@
         return new ReportedLoad(
                 new Incarnation(incarnation),
                 number(json, "atMs", 0L, 0, Long.MAX_VALUE),
-                (int) number(json, "running", null, 0, MAX_COUNT),
-                (int) number(json, "waiting", engine ? null : 0L, 0, MAX_COUNT),
+                (int) number(json, "running", null, 0, MAX_REQUESTS),
+                (int) number(json, "waiting", engine ? null : 0L, 0, MAX_REQUESTS),
                 number(json, "kvUsedTokens", engine ? null : 0L, 0, MAX_TOKENS),
                 number(json, "kvCapacityTokens", engine ? null : 0L, 0, MAX_TOKENS),
                 number(json, "preemptions", 0L, 0, Long.MAX_VALUE),
@@ -181,10 +188,10 @@
                 Boolean.TRUE.equals(json.getValue("leaving")));
     }
 
-    private static long number(JsonObject json, String field, Long fallback, long min, long max) {
+    private static long number(JsonObject json, String field, Long defaultValue, long min, long max) {
         Object value = json.getValue(field);
-        if (value == null && fallback != null) {
-            return fallback;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
         if (value instanceof Integer || value instanceof Long) {
             long number = ((Number) value).longValue();
@@ -192,7 +199,7 @@
                 return number;
             }
         }
-        throw new IllegalArgumentException(field + " must be a whole number from " + min + " to " + max);
+        throw new IllegalArgumentException(field + " must be an integer from " + min + " to " + max);
     }
 
     private static Set<ModelName> models(JsonObject json) {
@@ -203,7 +210,7 @@
         }
         for (Object item : (List<?>) array.getList()) {
             if (!(item instanceof String name)) {
-                throw new IllegalArgumentException("models must be texts");
+                throw new IllegalArgumentException("models must be strings");
             }
             models.add(new ModelName(name));
         }
--- a/entry/src/main/java/org/verbenatally/entry/target/Refusals.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/Refusals.java
@@ -5,12 +5,12 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.core.TargetId;
 
-/** Reads the body of a 503 answer, with which a target says that it did not run a request. */
+/** Parses the body of a 503 response, with which a target reports that it did not run a request. */
 final class Refusals {
     private Refusals() {}
 
-    /** Returns the refusal; an unknown reason proves nothing and counts as a bad answer. */
-    static TargetFailure read(TargetId target, Buffer body) {
+    /** Returns the refusal as a failure. An unknown reason does not prove that nothing ran, so it is a bad answer. */
+    static TargetFailure parse(TargetId target, Buffer body) {
         String reason;
         try {
             reason = String.valueOf(new JsonObject(body).getValue("reason"));
--- a/entry/src/main/java/org/verbenatally/entry/target/ServiceClient.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/ServiceClient.java
@@ -13,61 +13,63 @@
 
 /** Client of plain services. Methods wait and must run in a virtual-thread task. */
 public final class ServiceClient {
-    /** Largest answer; it must fit into one frame between entry instances. */
-    public static final int MAX_ANSWER_BYTES = 960 * 1024;
+    /** Maximum size of a response body; it must fit into one frame between entry instances. */
+    public static final int MAX_RESPONSE_BYTES = 960 * 1024;
 
     private static final int UNAVAILABLE = 503;
 
-    private final HttpExchange http;
+    private final TargetHttpClient http;
 
     /**
-     * The answer of a plain service.
+     * The response of a plain service.
      *
      * @param status HTTP status, not 503
-     * @param body the answer, at most {@link #MAX_ANSWER_BYTES}
+     * @param body the body, at most {@link #MAX_RESPONSE_BYTES} long
      */
-    public record Answer(int status, Buffer body) {}
+    public record Response(int status, Buffer body) {}
 
-    ServiceClient(HttpExchange http) {
+    ServiceClient(TargetHttpClient http) {
         this.http = Objects.requireNonNull(http, "http");
     }
 
     /**
      * Sends one call.
      *
-     * @param target where to
+     * @param target the service to call
      * @param kind kind of work
      * @param callId id of the call
-     * @param body JSON, passed through
-     * @param fresh whether a new connection must be opened
-     * @param timeout longest wait for the whole answer
-     * @param maySend asked once a connection exists, immediately before the first byte leaves
-     * @throws TargetFailure if the call was refused, could not be sent or was not answered
+     * @param body the request body, JSON that is passed through unchanged
+     * @param newConnection whether a new connection must be opened
+     * @param timeout maximum time until the response is complete
+     * @param maySend queried once a connection exists, immediately before the first byte is sent
+     * @throws TargetFailure if the call was refused, could not be sent or received no valid response in time
      */
-    public Answer call(
+    public Response call(
             Target target,
             KindName kind,
             String callId,
             Buffer body,
-            boolean fresh,
+            boolean newConnection,
             Duration timeout,
             BooleanSupplier maySend)
             throws TargetFailure {
         String uri = "/v1/calls/" + kind.value();
-        HttpClientRequest request =
-                fresh ? http.connect(target, HttpMethod.POST, uri) : http.reuse(target, HttpMethod.POST, uri);
+        HttpClientRequest request = newConnection
+                ? http.connect(target, HttpMethod.POST, uri)
+                : http.connectPooled(target, HttpMethod.POST, uri);
         if (!maySend.getAsBoolean()) {
             request.reset();
-            throw new TargetFailure(target.id(), TargetFailure.Cause.NOT_CONNECTED, "the time for the call had passed");
+            throw new TargetFailure(
+                    target.id(), TargetFailure.Cause.NOT_CONNECTED, "the call expired before it was sent");
         }
         request.putHeader("Content-Type", "application/json").putHeader("Call-Id", callId);
         long start = System.nanoTime();
         HttpClientResponse response = http.send(target, request, body, timeout);
-        Duration left = timeout.minusNanos(System.nanoTime() - start);
-        Buffer answer = http.body(target, request, response, MAX_ANSWER_BYTES, left);
+        Duration remaining = timeout.minusNanos(System.nanoTime() - start);
+        Buffer responseBody = http.readBody(target, request, response, MAX_RESPONSE_BYTES, remaining);
         if (response.statusCode() == UNAVAILABLE) {
-            throw Refusals.read(target.id(), answer);
+            throw Refusals.parse(target.id(), responseBody);
         }
-        return new Answer(response.statusCode(), answer);
+        return new Response(response.statusCode(), responseBody);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/target/TargetClients.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/TargetClients.java
@@ -4,15 +4,15 @@
 
 import io.vertx.core.Vertx;
 
-/** The clients of one entry process; they share the connections. */
+/** The clients of the targets in one entry process. They share their connections. */
 public final class TargetClients {
-    private final HttpExchange http;
+    private final TargetHttpClient http;
     private final EngineClient engines;
     private final ServiceClient services;
 
     /** Creates the clients. */
     public TargetClients(Vertx vertx) {
-        this.http = new HttpExchange(Objects.requireNonNull(vertx, "vertx"));
+        this.http = new TargetHttpClient(Objects.requireNonNull(vertx, "vertx"));
         this.engines = new EngineClient(http);
         this.services = new ServiceClient(http);
     }
@@ -27,7 +27,7 @@
         return services;
     }
 
-    HttpExchange http() {
+    TargetHttpClient http() {
         return http;
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/target/HttpExchange.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/TargetHttpClient.java
@@ -19,31 +19,32 @@
 import org.verbenatally.config.Target;
 import org.verbenatally.time.TimedAwait;
 
-/** The HTTP clients that all exchanges with targets share. Methods wait and must run in a virtual-thread task. */
-final class HttpExchange {
+/** HTTP client for all requests to targets. Methods wait and must run in a virtual-thread task. */
+final class TargetHttpClient {
     static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
 
     private static final int MAX_CONNECTIONS_PER_TARGET = 4_096;
     private static final int MAX_HEADER_BYTES = 8_192;
 
     private final Vertx vertx;
-    private final HttpClient fresh;
-    private final HttpClient pooled;
+    private final HttpClient unpooledClient;
+    private final HttpClient pooledClient;
 
-    HttpExchange(Vertx vertx) {
+    TargetHttpClient(Vertx vertx) {
         this.vertx = vertx;
-        this.fresh = vertx.createHttpClient(options().setKeepAlive(false), pool());
-        this.pooled = vertx.createHttpClient(options().setKeepAlive(true).setKeepAliveTimeout(10), pool());
+        this.unpooledClient = vertx.createHttpClient(clientOptions().setKeepAlive(false), poolOptions());
+        this.pooledClient =
+                vertx.createHttpClient(clientOptions().setKeepAlive(true).setKeepAliveTimeout(10), poolOptions());
     }
 
-    private static HttpClientOptions options() {
+    private static HttpClientOptions clientOptions() {
         return new HttpClientOptions()
                 .setConnectTimeout((int) CONNECT_TIMEOUT.toMillis())
                 .setMaxHeaderSize(MAX_HEADER_BYTES)
                 .setTcpNoDelay(true);
     }
 
-    private static PoolOptions pool() {
+    private static PoolOptions poolOptions() {
         return new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS_PER_TARGET);
     }
 
@@ -51,14 +52,14 @@
         return vertx;
     }
 
-    /** Opens a connection that no request has used before. */
+    /** Creates a request on a new connection. */
     HttpClientRequest connect(Target target, HttpMethod method, String uri) throws TargetFailure {
-        return connect(fresh, target, method, uri);
+        return connect(unpooledClient, target, method, uri);
     }
 
-    /** Takes a pooled connection or opens one. */
-    HttpClientRequest reuse(Target target, HttpMethod method, String uri) throws TargetFailure {
-        return connect(pooled, target, method, uri);
+    /** Creates a request on a pooled connection, or on a new one if none is idle. */
+    HttpClientRequest connectPooled(Target target, HttpMethod method, String uri) throws TargetFailure {
+        return connect(pooledClient, target, method, uri);
     }
 
     private HttpClientRequest connect(HttpClient client, Target target, HttpMethod method, String uri)
@@ -70,7 +71,7 @@
                 .setURI(uri);
         Future<HttpClientRequest> future;
         try {
-            // Failures are reported by the futures of each exchange; a reset request needs no second report.
+            // Failures are reported by the request's futures; a reset request needs no second report.
             future = client.request(options).onSuccess(request -> request.exceptionHandler(e -> {}));
         } catch (IllegalStateException e) {
             throw notConnected(target, e);
@@ -83,7 +84,7 @@
         } catch (RuntimeException e) {
             throw notConnected(target, e);
         } catch (Exception e) {
-            // Future.await throws the original checked exception undeclared.
+            // Future.await throws the original checked exception without declaring it.
             throw notConnected(target, e);
         }
     }
@@ -97,18 +98,21 @@
         return new TargetFailure(target.id(), cause, refused ? "connection refused" : "connect failed", e);
     }
 
-    /** Sends the request and waits for the head of the answer; from here on bytes may have left. */
-    HttpClientResponse send(Target target, HttpClientRequest request, Buffer body, Duration silence)
+    /**
+     * Sends the request and waits for the head of the response, which is returned paused. Once this method is called,
+     * bytes may have been sent.
+     */
+    HttpClientResponse send(Target target, HttpClientRequest request, Buffer body, Duration timeout)
             throws TargetFailure {
-        Future<HttpClientResponse> sent = body == null ? request.send() : request.send(body);
-        Future<HttpClientResponse> answer =
-                sent.onSuccess(response -> response.exceptionHandler(e -> {}).pause());
+        Future<HttpClientResponse> sendFuture = body == null ? request.send() : request.send(body);
+        Future<HttpClientResponse> headFuture = sendFuture.onSuccess(
+                response -> response.exceptionHandler(e -> {}).pause());
         try {
-            return TimedAwait.await(answer, silence);
+            return TimedAwait.await(headFuture, timeout);
         } catch (TimeoutException e) {
             request.reset();
             throw new TargetFailure(
-                    target.id(), TargetFailure.Cause.SILENT, "no answer within " + silence.toMillis() + " ms", e);
+                    target.id(), TargetFailure.Cause.SILENT, "no response within " + timeout.toMillis() + " ms", e);
         } catch (Exception e) {
             request.reset();
             throw new TargetFailure(
@@ -119,32 +123,33 @@
         }
     }
 
-    /** Reads the whole body of a paused answer. */
-    Buffer body(Target target, HttpClientRequest request, HttpClientResponse response, int maxBytes, Duration timeout)
+    /** Reads the complete body of a paused response. */
+    Buffer readBody(
+            Target target, HttpClientRequest request, HttpClientResponse response, int maxBytes, Duration timeout)
             throws TargetFailure {
-        Promise<Buffer> whole = Promise.promise();
+        Promise<Buffer> complete = Promise.promise();
         Buffer collected = Buffer.buffer();
-        response.handler(part -> {
-            if (collected.length() + part.length() > maxBytes) {
-                whole.tryFail(new IllegalArgumentException("answer is longer than " + maxBytes + " bytes"));
+        response.handler(chunk -> {
+            if (collected.length() + chunk.length() > maxBytes) {
+                complete.tryFail(new IllegalArgumentException("response is longer than " + maxBytes + " bytes"));
             } else {
-                collected.appendBuffer(part);
+                collected.appendBuffer(chunk);
             }
         });
-        response.exceptionHandler(whole::tryFail);
-        response.endHandler(v -> whole.tryComplete(collected));
+        response.exceptionHandler(complete::tryFail);
+        response.endHandler(v -> complete.tryComplete(collected));
         response.resume();
         try {
-            return TimedAwait.await(whole.future(), timeout);
+            return TimedAwait.await(complete.future(), timeout);
         } catch (TimeoutException e) {
             request.reset();
-            throw new TargetFailure(target.id(), TargetFailure.Cause.SILENT, "answer did not end in time", e);
+            throw new TargetFailure(target.id(), TargetFailure.Cause.SILENT, "response was not complete in time", e);
         } catch (IllegalArgumentException e) {
             request.reset();
             throw new TargetFailure(target.id(), TargetFailure.Cause.BAD_ANSWER, e.getMessage(), e);
         } catch (Exception e) {
             request.reset();
-            throw new TargetFailure(target.id(), TargetFailure.Cause.BROKEN, "connection lost within the answer", e);
+            throw new TargetFailure(target.id(), TargetFailure.Cause.BROKEN, "connection lost during the response", e);
         }
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/target/TokenFeed.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/TokenFeed.java
@@ -11,14 +11,14 @@
 import io.vertx.core.json.DecodeException;
 import io.vertx.core.json.JsonObject;
 
-/** One attachment to a generation: the items that arrive on one connection, in order. */
+/** One attachment to a generation: delivers the items received on one connection, in order. */
 public final class TokenFeed {
-    /** An engine sends a comment every 500 ms; four missing ones mean that the connection is dead. */
-    static final Duration SILENCE = Duration.ofSeconds(2);
+    /** An engine sends a comment every 500 ms; if four are missing, the connection counts as dead. */
+    static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(2);
 
     private static final Duration CHECK_PERIOD = Duration.ofMillis(250);
-    private static final int PAUSE_AT = 512;
-    private static final int RESUME_AT = 128;
+    private static final int HIGH_WATERMARK_ITEMS = 512;
+    private static final int LOW_WATERMARK_ITEMS = 128;
     private static final int MAX_TOKEN_CHARS = 16_384;
 
     private final Vertx vertx;
@@ -27,49 +27,49 @@
     private final long attachment;
     private final EventParser parser = new EventParser(this::onEvent);
     private final ArrayDeque<Item> items = new ArrayDeque<>();
-    private final long timer;
-    private Promise<Void> waiter;
+    private final long silenceTimer;
+    private Promise<Void> pendingRead;
     private long lastByteNanos = System.nanoTime();
     private long lastCheckNanos = lastByteNanos;
     private boolean paused;
     private boolean finished;
 
-    /** What a feed delivers. */
+    /** An item that a feed delivers. */
     public sealed interface Item {}
 
     /**
      * One token.
      *
-     * @param offset its place in the generation, from 0
-     * @param text its text
+     * @param offset position of the token in the generation, from 0
+     * @param text the token's text
      */
     public record Token(long offset, String text) implements Item {}
 
     /**
      * The generation is complete.
      *
-     * @param tokens number of tokens that the engine says it generated
-     * @param preemptions how often the engine preempted it
+     * @param tokens number of tokens that the engine reports to have generated
+     * @param preemptions how often the engine preempted the generation
      */
     public record End(long tokens, long preemptions) implements Item {}
 
     /**
-     * The connection is of no more use.
+     * The connection was lost or closed before the generation was complete.
      *
-     * @param cause what happened
+     * @param cause why
      * @param message one short sentence
      */
-    public record Lost(TargetFailure.Cause cause, String message) implements Item {}
+    public record Disconnected(TargetFailure.Cause cause, String message) implements Item {}
 
     TokenFeed(Vertx vertx, HttpClientRequest request, HttpClientResponse response, long attachment) {
         this.vertx = vertx;
         this.request = request;
         this.response = response;
         this.attachment = attachment;
-        response.handler(this::onBytes);
-        response.exceptionHandler(e -> finish(new Lost(TargetFailure.Cause.BROKEN, "connection lost")));
-        response.endHandler(v -> finish(new Lost(TargetFailure.Cause.BROKEN, "connection closed")));
-        timer = vertx.setPeriodic(CHECK_PERIOD.toMillis(), id -> checkSilence());
+        response.handler(this::onChunk);
+        response.exceptionHandler(e -> finish(new Disconnected(TargetFailure.Cause.BROKEN, "connection lost")));
+        response.endHandler(v -> finish(new Disconnected(TargetFailure.Cause.BROKEN, "connection closed")));
+        silenceTimer = vertx.setPeriodic(CHECK_PERIOD.toMillis(), id -> checkSilence());
     }
 
     /** Returns the number that the engine gave this attachment. */
@@ -77,56 +77,56 @@
         return attachment;
     }
 
-    /** Waits for the next item. After {@link End} or {@link Lost} nothing follows. */
+    /** Waits for the next item. Nothing follows an {@link End} or a {@link Disconnected}. */
     public Item next() {
         while (true) {
-            Promise<Void> wait;
+            Promise<Void> arrival;
             synchronized (this) {
                 Item item = items.poll();
                 if (item != null) {
                     resumeIfDrained();
                     return item;
                 }
-                wait = Promise.promise();
-                waiter = wait;
+                arrival = Promise.promise();
+                pendingRead = arrival;
             }
-            wait.future().await();
+            arrival.future().await();
         }
     }
 
-    /** Closes the connection; a waiting reader gets {@link Lost}. */
+    /** Closes the connection; a waiting reader receives {@link Disconnected}. */
     public void close() {
-        finish(new Lost(TargetFailure.Cause.BROKEN, "closed here"));
+        finish(new Disconnected(TargetFailure.Cause.BROKEN, "closed by this entry"));
     }
 
     private void resumeIfDrained() {
-        if (paused && items.size() <= RESUME_AT) {
+        if (paused && items.size() <= LOW_WATERMARK_ITEMS) {
             paused = false;
             lastByteNanos = System.nanoTime();
             response.resume();
         }
     }
 
-    private void onBytes(Buffer bytes) {
+    private void onChunk(Buffer chunk) {
         synchronized (this) {
             lastByteNanos = System.nanoTime();
         }
         try {
-            parser.feed(bytes);
+            parser.parse(chunk);
         } catch (DecodeException | ClassCastException | NumberFormatException e) {
-            // The messages of these errors quote the data, which must not reach a log.
-            finish(new Lost(TargetFailure.Cause.BAD_ANSWER, "malformed event"));
+            // The messages of these exceptions quote the data, which must not be logged.
+            finish(new Disconnected(TargetFailure.Cause.BAD_ANSWER, "malformed event"));
         } catch (IllegalArgumentException e) {
-            finish(new Lost(TargetFailure.Cause.BAD_ANSWER, "malformed event: " + e.getMessage()));
+            finish(new Disconnected(TargetFailure.Cause.BAD_ANSWER, "malformed event: " + e.getMessage()));
         }
     }
 
     private void onEvent(EventParser.Event event) {
         switch (event.name()) {
-            case "" -> offer(new Token(offset(event.id()), text(event.data())));
+            case "" -> enqueue(new Token(offset(event.id()), text(event.data())));
             case "end" -> finish(end(event.data()));
             default -> {
-                // Events that this version does not know carry no token.
+                // Events unknown to this version carry no token and are ignored.
             }
         }
     }
@@ -142,7 +142,7 @@
     private static String text(String data) {
         String text = new JsonObject(data).getString("t");
         if (text == null || text.length() > MAX_TOKEN_CHARS) {
-            throw new IllegalArgumentException("t must be a text of at most " + MAX_TOKEN_CHARS + " characters");
+            throw new IllegalArgumentException("t must be a string of at most " + MAX_TOKEN_CHARS + " characters");
         }
         return text;
     }
@@ -157,16 +157,16 @@
         return new End(tokens, preemptions);
     }
 
-    private synchronized void offer(Item item) {
+    private synchronized void enqueue(Item item) {
         if (finished) {
             return;
         }
         items.add(item);
-        if (!paused && items.size() >= PAUSE_AT) {
+        if (!paused && items.size() >= HIGH_WATERMARK_ITEMS) {
             paused = true;
             response.pause();
         }
-        wake();
+        wakeReader();
     }
 
     private void finish(Item item) {
@@ -176,35 +176,36 @@
             }
             finished = true;
             items.add(item);
-            wake();
+            wakeReader();
         }
-        vertx.cancelTimer(timer);
-        // After the end event too: an engine that holds the connection open must not keep it here.
+        vertx.cancelTimer(silenceTimer);
+        // Reset after the end event too, so that an engine cannot keep the connection open.
         request.reset();
     }
 
-    private void wake() {
-        if (waiter != null) {
-            Promise<Void> wait = waiter;
-            waiter = null;
-            wait.tryComplete();
+    private void wakeReader() {
+        if (pendingRead != null) {
+            Promise<Void> arrival = pendingRead;
+            pendingRead = null;
+            arrival.tryComplete();
         }
     }
 
     private void checkSilence() {
-        boolean silent;
+        boolean timedOut;
         synchronized (this) {
             long now = System.nanoTime();
-            // A late check means that this process was paused: the bytes may wait in the socket.
-            boolean late = now - lastCheckNanos > 4 * CHECK_PERIOD.toNanos();
+            // A delayed check means that this process was paused: received bytes may still be in the socket buffer.
+            boolean checkDelayed = now - lastCheckNanos > 4 * CHECK_PERIOD.toNanos();
             lastCheckNanos = now;
-            if (late || paused) {
+            if (checkDelayed || paused) {
                 lastByteNanos = now;
             }
-            silent = now - lastByteNanos > SILENCE.toNanos();
+            timedOut = now - lastByteNanos > SILENCE_TIMEOUT.toNanos();
         }
-        if (silent) {
-            finish(new Lost(TargetFailure.Cause.SILENT, "nothing received for " + SILENCE.toMillis() + " ms"));
+        if (timedOut) {
+            finish(new Disconnected(
+                    TargetFailure.Cause.SILENT, "nothing received for " + SILENCE_TIMEOUT.toMillis() + " ms"));
         }
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/target/package-info.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/package-info.java
@@ -1,2 +1,2 @@
-/** Clients of model engines and plain services. Their answers are untrusted: each is checked and bounded here. */
+/** Clients of model engines and plain services. Responses are untrusted: each is validated and limited in size here. */
 package org.verbenatally.entry.target;
--- a/entry/src/test/java/org/verbenatally/entry/caller/CallerTlsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/caller/CallerTlsTest.java
@@ -34,12 +34,12 @@
     private Path key;
     private Path certificate;
 
-    /** Guards against a restart for each renewed certificate, and against an outage through a broken file. */
+    /** Guards against renewed certificates that need a restart, and against an outage caused by a broken file. */
     @Test
-    void renewedCertificateIsUsedAndABrokenOneIsNot() throws Exception {
+    void renewedCertificateIsUsedAndBrokenOneIsNot() throws Exception {
         key = folder.resolve("key.pem");
         certificate = folder.resolve("certificate.pem");
-        write(1);
+        writeKeyPair(1);
         TlsSettings settings = new TlsSettings();
         settings.setKeyFile(key.toString());
         settings.setCertificateFile(certificate.toString());
@@ -53,30 +53,30 @@
                     .toCompletableFuture()
                     .join()
                     .actualPort();
-            tls.add(server);
-            assertThat(serial(port)).isEqualTo(1);
+            tls.addServer(server);
+            assertThat(presentedSerial(port)).isEqualTo(1);
 
-            write(2);
+            writeKeyPair(2);
             tls.reloadIfChanged();
             awaitSerial(port, 2);
 
             Files.writeString(certificate, "no certificate");
             Files.setLastModifiedTime(certificate, FileTime.fromMillis(3_000));
             tls.reloadIfChanged();
-            assertThat(serial(port)).isEqualTo(2);
+            assertThat(presentedSerial(port)).isEqualTo(2);
         } finally {
             vertx.close().toCompletionStage().toCompletableFuture().join();
         }
     }
 
-    private static void awaitSerial(int port, int wanted) throws Exception {
-        long end = System.nanoTime() + 20_000_000_000L;
-        while (serial(port) != wanted) {
-            assertThat(System.nanoTime()).isLessThan(end);
+    private static void awaitSerial(int port, int expected) throws Exception {
+        long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+        while (presentedSerial(port) != expected) {
+            assertThat(System.nanoTime()).isLessThan(deadlineNanos);
         }
     }
 
-    private void write(int serial) throws Exception {
+    private void writeKeyPair(int serial) throws Exception {
         KeyPairGenerator generator = KeyPairGenerator.getInstance("RSA");
         generator.initialize(2_048);
         KeyPair pair = generator.generateKeyPair();
@@ -90,23 +90,23 @@
                         pair.getPublic())
                 .build(new JcaContentSignerBuilder("SHA256withRSA").build(pair.getPrivate()))
                 .getEncoded();
-        pem(key, "PRIVATE KEY", pair.getPrivate().getEncoded(), serial);
-        pem(certificate, "CERTIFICATE", encoded, serial);
+        writePem(key, "PRIVATE KEY", pair.getPrivate().getEncoded(), serial);
+        writePem(certificate, "CERTIFICATE", encoded, serial);
     }
 
-    private static void pem(Path file, String type, byte[] content, int serial) throws Exception {
+    private static void writePem(Path file, String type, byte[] content, int serial) throws Exception {
         String body = Base64.getMimeEncoder().encodeToString(content);
         Files.writeString(file, "-----BEGIN " + type + "-----\n" + body + "\n-----END " + type + "-----\n");
         Files.setLastModifiedTime(file, FileTime.fromMillis(serial * 1_000L));
     }
 
-    private static int serial(int port) throws Exception {
+    private static int presentedSerial(int port) throws Exception {
         SSLContext context = SSLContext.getInstance("TLS");
         context.init(null, new TrustManager[] {new TrustAll()}, null);
         try (SSLSocket socket = (SSLSocket) context.getSocketFactory().createSocket("127.0.0.1", port)) {
             socket.startHandshake();
-            X509Certificate shown = (X509Certificate) socket.getSession().getPeerCertificates()[0];
-            return shown.getSerialNumber().intValue();
+            X509Certificate presented = (X509Certificate) socket.getSession().getPeerCertificates()[0];
+            return presented.getSerialNumber().intValue();
         }
     }
 
