--- a/entry/src/test/java/org/verbenatally/entry/target/LoadPollerTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/target/LoadPollerTest.java
@@ -39,10 +39,10 @@
                 + "\"kvUsedTokens\":3,\"kvCapacityTokens\":4,\"preemptions\":5,\"models\":[\"m\"],\"leaving\":true}");
     }
 
-    /** Guards against fields that are mixed up. */
+    /** Guards against report fields that are confused with one another. */
     @Test
-    void reportIsReadFieldByField() {
-        ReportedLoad load = LoadPoller.read(ENGINE, report());
+    void everyFieldOfAReportIsParsed() {
+        ReportedLoad load = LoadPoller.parse(ENGINE, report());
 
         assertThat(load.incarnation().value()).isEqualTo(7);
         assertThat(List.of(load.running(), load.waiting())).containsExactly(1, 2);
@@ -52,7 +52,7 @@
         assertThat(load.leaving()).isTrue();
     }
 
-    /** Guards against a report that makes a target look free, or that belongs to another target. */
+    /** Guards against an invalid report that makes a target look idle, or a report of another target. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -72,16 +72,16 @@
         JsonObject json = report();
         json.put(field, new JsonObject("{\"v\":" + value + "}").getValue("v"));
 
-        assertThatThrownBy(() -> LoadPoller.read(ENGINE, json))
+        assertThatThrownBy(() -> LoadPoller.parse(ENGINE, json))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessageStartingWith(field);
     }
 
-    /** Guards against plain services that are ignored because they report less than engines. */
+    /** Guards against plain services whose reports are ignored because they have fewer fields than those of engines. */
     @Test
-    void plainServiceMayLeaveOutWhatOnlyEnginesHave() {
+    void plainServiceMayOmitFieldsOfEngines() {
         ReportedLoad load =
-                LoadPoller.read(target(TargetType.SERVICE), new JsonObject("{\"running\":2,\"leaving\":false}"));
+                LoadPoller.parse(target(TargetType.SERVICE), new JsonObject("{\"running\":2,\"leaving\":false}"));
 
         assertThat(load.running()).isEqualTo(2);
         assertThat(Optional.of(load.leaving())).contains(false);
