--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineStarter.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineStarter.java
@@ -23,7 +23,7 @@
     /** Result of a start. */
     sealed interface Result {}
 
-    /** The generation is running and attached to. */
+    /** The generation is running, and {@code feed} is attached to it. */
     record Started(TokenFeed feed) implements Result {}
 
     /**
--- a/entry/src/main/java/org/verbenatally/entry/caller/Exchange.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/Exchange.java
@@ -40,7 +40,7 @@
     Exchange(HttpServerRequest request, long startNanos) {
         this.request = Objects.requireNonNull(request, "request");
         this.startNanos = startNanos;
-        // A caller that disconnects is no error; classes that must react to it replace this handler with their own.
+        // A caller that disconnects is not an error; classes that must react to it replace this handler with their own.
         request.response().exceptionHandler(e -> {});
         String suppliedId = request.getHeader("Request-Id");
         this.idIsValid = suppliedId == null || REQUEST_ID.matcher(suppliedId).matches();
@@ -111,7 +111,7 @@
      * Returns the deadline on the monotonic clock.
      *
      * @param defaultTimeout time from the start of the request that applies without a {@code Deadline-Ms} header
-     * @throws ProblemException if the header is not a number of milliseconds from 1 to two hours
+     * @throws ProblemException if the header is not a number from 1 to {@link #MAX_DEADLINE_MS}
      */
     long deadlineNanos(Duration defaultTimeout) {
         String text = request.getHeader("Deadline-Ms");
@@ -191,7 +191,7 @@
         response.end(reported.json(id).toBuffer());
     }
 
-    /** Sends a complete response; a {@code null} body sends none. */
+    /** Sends a complete response, without a body if {@code body} is {@code null}. */
     void succeed(int status, String contentType, Buffer body) {
         HttpServerResponse response = response();
         if (response.headWritten() || response.closed()) {
--- a/entry/src/main/java/org/verbenatally/entry/caller/IdleConnections.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/IdleConnections.java
@@ -8,9 +8,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * Closes callers' connections that carry no request for {@link #IDLE_TIMEOUT}, so that slow or silent clients cannot
- * hold them. The idle timeout of the HTTP server cannot do this: it would also close connections whose request takes
- * long.
+ * Closes callers' connections that have carried no request for {@link #IDLE_TIMEOUT}, so that slow or silent clients
+ * cannot hold them. The idle timeout of the HTTP server cannot do this: it would also close connections whose request
+ * takes long.
  */
 final class IdleConnections {
     private static final Logger LOG = Logger.getLogger(IdleConnections.class);
--- a/entry/src/main/java/org/verbenatally/entry/caller/OrganisationLimits.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/OrganisationLimits.java
@@ -14,7 +14,7 @@
 final class OrganisationLimits {
     private static final int TOO_MANY_REQUESTS = 429;
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Capacity of the token bucket, in seconds of the organisation's rate. */
+    /** Capacity of the token bucket: unused rate accumulates for this many seconds. */
     private static final double BURST_SECONDS = 2;
 
     private final Map<OrganisationId, Usage> usages = new ConcurrentHashMap<>();
@@ -53,8 +53,7 @@
      *
      * @param organisation whose request it is
      * @param nowNanos current time on the monotonic clock
-     * @param isNewWork whether the limit of open requests applies; it does not to a resume, which replaces a lost
-     *     connection
+     * @param isNewWork whether the limit of open requests applies; a resume is exempt, as it replaces a lost connection
      * @throws ProblemException if the organisation has reached a limit
      */
     Slot acquire(Organisation organisation, long nowNanos, boolean isNewWork) {
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -32,7 +32,7 @@
     private static final int PRECONDITION_REQUIRED = 428;
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
-    /** Characters of a prompt's prefix; its hash recognises requests that can share an engine's cached memory. */
+    /** Length, in characters, of the prompt prefix whose hash recognises requests that can share cached memory. */
     private static final int PREFIX_CHARS = 1_024;
 
     private final CallerComponents components;
--- a/entry/src/main/java/org/verbenatally/entry/target/EngineStream.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/EngineStream.java
@@ -255,8 +255,7 @@
         close();
         try {
             boolean accepted = client.cancel(target, generation, attachment);
-            LOG.debugf(
-                    "stream: cancel on %s was %s", target.id(), accepted ? "accepted" : "refused: resumed elsewhere");
+            LOG.debugf("stream: cancel on %s was %s", target.id(), accepted ? "taken" : "refused: resumed elsewhere");
         } catch (TargetFailure e) {
             // The engine ends a generation by itself if no connection reads it.
             LOG.debugf("stream: cancel on %s failed: %s", target.id(), e.getMessage());
