--- a/forward/src/main/java/org/verbenatally/forward/AnswerHead.java
+++ b/forward/src/main/java/org/verbenatally/forward/AnswerHead.java
@@ -26,7 +26,7 @@
     }
 
     /** Tells whether it belongs to another request, or cannot be trusted for another reason. */
-    boolean isForeign(String id) {
+    boolean isUntrusted(String id) {
         return requestId.filter(i -> !i.equals(id)).isPresent() || isSuccess() && (requestId.isEmpty() || !genuine);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/Attempt.java
+++ b/forward/src/main/java/org/verbenatally/forward/Attempt.java
@@ -14,89 +14,92 @@
 /**
  * One send of a request to one target, from the connection to the head of the answer.
  *
- * @param row the target
- * @param request the exchange, to be reset if its answer is not read to the end
+ * @param targetState the target
+ * @param clientRequest the exchange, to be reset if its answer is not read to the end
  * @param response the answer, paused
  * @param head what its head says
  */
-record Attempt(TargetRow row, HttpClientRequest request, HttpClientResponse response, AnswerHead head) {
+record Attempt(TargetState targetState, HttpClientRequest clientRequest, HttpClientResponse response, AnswerHead head) {
     private static final Logger LOG = Logger.getLogger(Attempt.class);
 
     /**
      * Sends a request and waits for the head of the answer.
      *
-     * @param parts parts of this instance
-     * @param r the request
+     * @param components parts of this instance
+     * @param request the request
      * @param caller its caller; the send is broken off when it leaves
-     * @param row the target
+     * @param state the target
      * @param order what is added to the request
      * @param limit longest wait for the head
      * @throws StepException with outcome {@code NOT_RUN} if nothing was sent, {@code UNKNOWN} if the target may run it
      */
     static Attempt start(
-            ForwardParts parts,
-            ForwardedRequest r,
+            ForwardComponents components,
+            ForwardedRequest request,
             CallerExchange caller,
-            TargetRow row,
+            TargetState state,
             TargetOrder order,
             Duration limit) {
-        ForwardTarget target = row.target();
-        HttpClientRequest request;
+        ForwardTarget target = state.target();
+        HttpClientRequest clientRequest;
         try {
-            request = parts.client()
+            clientRequest = components
+                    .client()
                     .connect(
-                            r.service(),
+                            request.service(),
                             target.address(),
                             caller.request().method(),
                             caller.request().uri(),
                             limit);
         } catch (StepException e) {
-            row.unreachable(parts.timer().nanos());
+            state.onUnreachable(components.timer().nanos());
             throw e;
         }
-        if (caller.isGone() || parts.directory().isLeaving(row)) {
-            request.reset();
-            String why = caller.isGone() ? "caller has left" : "target began to leave";
-            throw new StepException(Step.SEND, target.id().value(), Outcome.NOT_RUN, why);
+        if (caller.isGone() || components.directory().isLeaving(state)) {
+            clientRequest.reset();
+            String reason = caller.isGone() ? "caller has left" : "target began to leave";
+            throw new StepException(Step.SEND, target.id().value(), Outcome.NOT_RUN, reason);
         }
-        Headers.copy(caller.request().headers(), request.headers());
-        parts.codec().write(order, request.headers());
+        Headers.copyEndToEnd(caller.request().headers(), clientRequest.headers());
+        components.codec().write(order, clientRequest.headers());
         LogEvent.of("request.sent")
-                .request(r.id())
+                .request(request.id())
                 .with("target", target.id())
                 .with("leftMs", order.timeLeft().toMillis())
-                .with("ownRequests", row.ownRequests())
-                .with("peerRequests", row.peerRequests())
-                .with("tokens", row.ownTokens() + row.peerTokens())
+                .with("ownRequests", state.ownRequests())
+                .with("peerRequests", state.peerRequests())
+                .with("tokens", state.ownTokens() + state.peerTokens())
                 .with("backup", order.backup().map(Object::toString).orElse(""))
                 .with("continues", order.continuation().isPresent())
                 .info(LOG);
         try {
-            HttpClientResponse response = parts.client().send(request, r.body(), limit, caller::onGone);
-            return new Attempt(row, request, response, parts.codec().read(response));
+            HttpClientResponse response =
+                    components.client().send(clientRequest, request.body(), limit, caller::onGone);
+            return new Attempt(
+                    state, clientRequest, response, components.codec().read(response));
         } catch (StepException e) {
             if (!caller.isGone() && !(e.getCause() instanceof TimeoutException)) {
-                row.unreachable(parts.timer().nanos());
-                parts.crashes().connectionBroke(row);
+                state.onUnreachable(components.timer().nanos());
+                components.crashDetector().onConnectionLost(state);
             }
             throw e;
         }
     }
 
     /** Logs that the target has not run the request, or has no copy to go on from. */
-    void logNotRun(ForwardedRequest r) {
+    void logNotRun(ForwardedRequest request) {
         LogEvent.of("attempt.notRun")
-                .request(r.id())
-                .with("target", row.target().id())
+                .request(request.id())
+                .with("target", targetState.target().id())
                 .with("status", head.status())
                 .info(LOG);
     }
 
     /** Logs that a send failed. */
-    static void logFailure(ForwardedRequest r, TargetRow row, StepException e) {
+    static void logFailure(ForwardedRequest request, TargetState state, StepException e) {
         LogEvent.of("attempt.failed")
-                .request(r.id())
-                .with("target", row.target().id())
+                .request(request.id())
+                .with("target", state.target().id())
                 .with("step", e.step())
                 .with("outcome", e.outcome())
                 .with("reason", e.getMessage())
@@ -104,7 +107,7 @@
     }
 
     /** Ends the exchange without reading the rest of its answer. */
-    void drop() {
-        request.reset();
+    void cancel() {
+        clientRequest.reset();
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/BodyMemory.java
+++ b/forward/src/main/java/org/verbenatally/forward/BodyMemory.java
@@ -11,7 +11,7 @@
     private static final long DEFAULT_BYTES = Runtime.getRuntime().maxMemory() / 4;
 
     private final long limit;
-    private final AtomicLong taken = new AtomicLong();
+    private final AtomicLong reserved = new AtomicLong();
 
     BodyMemory() {
         this(DEFAULT_BYTES);
@@ -22,19 +22,19 @@
     }
 
     /** Takes memory for bytes that have arrived; returns whether there was enough. */
-    boolean take(int bytes) {
-        if (taken.addAndGet(bytes) <= limit) {
+    boolean reserve(int bytes) {
+        if (reserved.addAndGet(bytes) <= limit) {
             return true;
         }
-        taken.addAndGet(-bytes);
+        reserved.addAndGet(-bytes);
         return false;
     }
 
-    void giveBack(int bytes) {
-        taken.addAndGet(-bytes);
+    void release(int bytes) {
+        reserved.addAndGet(-bytes);
     }
 
-    long taken() {
-        return taken.get();
+    long reserved() {
+        return reserved.get();
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/CallRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallRun.java
@@ -23,23 +23,23 @@
     private static final Logger LOG = Logger.getLogger(CallRun.class);
 
     /** Largest answer that is held; usual ones have a thousand bytes, and many may be held at a time. */
-    private static final int MAX_HELD_BYTES = 256 << 10;
+    private static final int MAX_BUFFERED_BYTES = 256 << 10;
     /** Rounds over all targets while none of them can be connected to; most such failures are short. */
     private static final int MAX_ROUNDS = 3;
 
     private static final Duration ROUND_PAUSE = Duration.ofMillis(30);
     /** A repeatable request leaves a silent target after this many objectives, while time for another is left. */
-    private static final int PATIENCE_OBJECTIVES = 2;
+    private static final int RESPONSE_TIMEOUT_OBJECTIVES = 2;
     /** Time that an attempt needs at least to be of use. */
-    private static final Duration LEAST_TIME = Duration.ofMillis(5);
+    private static final Duration MIN_REMAINING = Duration.ofMillis(5);
 
     /** An answer that goes on for this long after its caller's time has no end. */
-    private static final Duration LATEST_PIECE = Duration.ofSeconds(1);
+    private static final Duration MAX_CHUNK_LATENESS = Duration.ofSeconds(1);
 
     private static final Duration RETRY_AFTER = Duration.ofMillis(100);
 
-    private final ForwardParts parts;
-    private final ForwardedRequest r;
+    private final ForwardComponents components;
+    private final ForwardedRequest request;
     private final CallerExchange caller;
     private final Set<TargetId> tried = new HashSet<>();
     private int rounds;
@@ -48,32 +48,33 @@
     private Attempt failure;
     private Buffer failureBody;
 
-    CallRun(ForwardParts parts, ForwardedRequest r, CallerExchange caller) {
-        this.parts = Objects.requireNonNull(parts, "parts");
-        this.r = Objects.requireNonNull(r, "r");
+    CallRun(ForwardComponents components, ForwardedRequest request, CallerExchange caller) {
+        this.components = Objects.requireNonNull(components, "components");
+        this.request = Objects.requireNonNull(request, "request");
         this.caller = Objects.requireNonNull(caller, "caller");
     }
 
     /** Runs the request to its end and returns its outcome, for logs and metrics. */
     String run() {
         while (!caller.isGone()) {
-            Duration left = r.left(parts.timer().nanos());
-            if (left.compareTo(LEAST_TIME) < 0) {
-                return finish(CallerExchange.GATEWAY_TIMEOUT, "deadline");
+            Duration remaining = request.remaining(components.timer().nanos());
+            if (remaining.compareTo(MIN_REMAINING) < 0) {
+                return endUnserved(CallerExchange.GATEWAY_TIMEOUT, "deadline");
             }
-            Optional<TargetRow> row = parts.chooser().service(r.service().name(), tried);
-            if (row.isEmpty() && sends == 0 && ++rounds < MAX_ROUNDS) {
+            Optional<TargetState> state =
+                    components.chooser().chooseTarget(request.service().name(), tried);
+            if (state.isEmpty() && sends == 0 && ++rounds < MAX_ROUNDS) {
                 tried.clear();
                 TimedAwait.pause(caller.owner(), ROUND_PAUSE);
                 continue;
             }
-            if (row.isEmpty()) {
-                return finish(CallerExchange.BAD_GATEWAY, "no target");
+            if (state.isEmpty()) {
+                return endUnserved(CallerExchange.BAD_GATEWAY, "no target");
             }
-            if (!parts.repeats().maySend(r.service().name(), sends)) {
-                return finish(CallerExchange.BAD_GATEWAY, "no repeat allowed");
+            if (!components.retryAllowance().tryAcquire(request.service().name(), sends)) {
+                return endUnserved(CallerExchange.BAD_GATEWAY, "no repeat allowed");
             }
-            Optional<String> outcome = attempt(row.get(), left);
+            Optional<String> outcome = attempt(state.get(), remaining);
             if (outcome.isPresent()) {
                 return outcome.get();
             }
@@ -82,41 +83,47 @@
     }
 
     private boolean mayRunAgain() {
-        return r.route().repetition() == Repetition.IDEMPOTENT
-                && runs < r.route().maxAttempts();
+        return request.route().repetition() == Repetition.IDEMPOTENT
+                && runs < request.route().maxAttempts();
     }
 
     /** Sends the request once; returns the outcome if that decides it. */
-    private Optional<String> attempt(TargetRow row, Duration left) {
-        tried.add(row.target().id());
-        Flight flight = new Flight(r.id(), r.fingerprint(), row, null, null, () -> {});
+    private Optional<String> attempt(TargetState state, Duration remaining) {
+        tried.add(state.target().id());
+        InFlightRequest inFlight =
+                new InFlightRequest(request.id(), request.fingerprint(), state, null, null, () -> {});
         try {
             sends++;
             var order = new TargetOrder(
-                    row.target().id(), left, Urgency.NORMAL, r.organisation(), Optional.empty(), Optional.empty());
-            Attempt attempt = Attempt.start(parts, r, caller, row, order, patience(left));
-            return answered(attempt);
+                    state.target().id(),
+                    remaining,
+                    Urgency.NORMAL,
+                    request.organisation(),
+                    Optional.empty(),
+                    Optional.empty());
+            Attempt attempt = Attempt.start(components, request, caller, state, order, responseTimeout(remaining));
+            return onResponse(attempt);
         } catch (StepException e) {
-            return lost(row, e);
+            return onFailure(state, e);
         } finally {
-            flight.end();
+            inFlight.end();
         }
     }
 
-    private Duration patience(Duration left) {
-        boolean another = r.route().repetition() == Repetition.IDEMPOTENT
-                && runs + 1 < r.route().maxAttempts();
-        if (!another) {
-            return left;
+    private Duration responseTimeout(Duration remaining) {
+        boolean hasAnotherRun = request.route().repetition() == Repetition.IDEMPOTENT
+                && runs + 1 < request.route().maxAttempts();
+        if (!hasAnotherRun) {
+            return remaining;
         }
-        Duration enough = r.route().objective().multipliedBy(PATIENCE_OBJECTIVES);
-        Duration half = left.dividedBy(2);
-        return enough.compareTo(half) < 0 ? enough : half;
+        Duration objectiveTimeout = request.route().objective().multipliedBy(RESPONSE_TIMEOUT_OBJECTIVES);
+        Duration half = remaining.dividedBy(2);
+        return objectiveTimeout.compareTo(half) < 0 ? objectiveTimeout : half;
     }
 
-    private Optional<String> lost(TargetRow row, StepException e) {
-        long now = parts.timer().nanos();
-        Attempt.logFailure(r, row, e);
+    private Optional<String> onFailure(TargetState state, StepException e) {
+        long now = components.timer().nanos();
+        Attempt.logFailure(request, state, e);
         if (caller.isGone()) {
             return Optional.of("caller left");
         }
@@ -125,115 +132,118 @@
             return Optional.empty();
         }
         runs++;
-        row.answered(true, now);
+        state.recordOutcome(true, now);
         if (mayRunAgain()) {
             return Optional.empty();
         }
-        boolean late = r.left(now).compareTo(LEAST_TIME) < 0;
-        return Optional.of(finish(late ? CallerExchange.GATEWAY_TIMEOUT : CallerExchange.BAD_GATEWAY, "answer lost"));
+        boolean pastDeadline = request.remaining(now).compareTo(MIN_REMAINING) < 0;
+        return Optional.of(
+                endUnserved(pastDeadline ? CallerExchange.GATEWAY_TIMEOUT : CallerExchange.BAD_GATEWAY, "answer lost"));
     }
 
-    private Optional<String> answered(Attempt attempt) {
+    private Optional<String> onResponse(Attempt attempt) {
         AnswerHead head = attempt.head();
-        TargetRow row = attempt.row();
-        if (head.isForeign(r.id())) {
-            attempt.drop();
+        TargetState state = attempt.targetState();
+        if (head.isUntrusted(request.id())) {
+            attempt.cancel();
             throw new StepException(
-                    Step.SEND, row.target().id().value(), Outcome.UNKNOWN, "answer belongs to another request");
+                    Step.SEND, state.target().id().value(), Outcome.UNKNOWN, "answer belongs to another request");
         }
-        AnswerFeed feed = new AnswerFeed(attempt.response());
+        ResponseBodyReader reader = new ResponseBodyReader(attempt.response());
         Buffer body = Buffer.buffer();
-        if (!hold(attempt, feed, body)) {
-            return Optional.of(passOn(attempt, feed, body));
+        if (!buffer(attempt, reader, body)) {
+            return Optional.of(passThrough(attempt, reader, body));
         }
-        long now = parts.timer().nanos();
-        row.answered(head.notRun() || head.isServerError(), now);
+        long now = components.timer().nanos();
+        state.recordOutcome(head.notRun() || head.isServerError(), now);
         if (head.notRun()) {
-            attempt.logNotRun(r);
+            attempt.logNotRun(request);
             return Optional.empty();
         }
         runs++;
-        parts.crashes().answered(r);
+        components.crashDetector().onResponse(request);
         if (head.isServerError() && mayRunAgain()) {
             failure = attempt;
             failureBody = body;
             return Optional.empty();
         }
-        caller.answer(attempt.response(), body);
+        caller.respond(attempt.response(), body);
         return Optional.of(head.isSuccess() ? "served" : "target failed");
     }
 
     /** Reads an answer to its end, or to the most that is held; returns whether it has ended. */
-    private boolean hold(Attempt attempt, AnswerFeed feed, Buffer body) {
-        while (body.length() <= MAX_HELD_BYTES) {
-            Optional<Buffer> piece = next(attempt, feed);
-            if (piece.isEmpty()) {
+    private boolean buffer(Attempt attempt, ResponseBodyReader reader, Buffer body) {
+        while (body.length() <= MAX_BUFFERED_BYTES) {
+            Optional<Buffer> chunk = nextChunk(attempt, reader);
+            if (chunk.isEmpty()) {
                 return true;
             }
-            body.appendBuffer(piece.get());
+            body.appendBuffer(chunk.get());
         }
         return false;
     }
 
     /** Returns the next piece of an answer, or empty at its end. */
-    private Optional<Buffer> next(Attempt attempt, AnswerFeed feed) {
-        Duration left = r.left(parts.timer().nanos());
-        AnswerFeed.Item item = feed.next(left);
+    private Optional<Buffer> nextChunk(Attempt attempt, ResponseBodyReader reader) {
+        Duration remaining = request.remaining(components.timer().nanos());
+        ResponseBodyReader.Item item = reader.next(remaining);
         // A body without end always has a next piece; an end that waits already is delivered, also late.
-        if (item instanceof AnswerFeed.Piece piece && left.compareTo(LATEST_PIECE.negated()) > 0) {
-            return Optional.of(piece.bytes());
+        if (item instanceof ResponseBodyReader.Piece chunk && remaining.compareTo(MAX_CHUNK_LATENESS.negated()) > 0) {
+            return Optional.of(chunk.bytes());
         }
-        if (item instanceof AnswerFeed.End && !parts.client().isDoubtful(attempt.response())) {
+        if (item instanceof ResponseBodyReader.End && !components.client().isPossiblyIncomplete(attempt.response())) {
             return Optional.empty();
         }
-        attempt.drop();
-        parts.crashes().connectionBroke(attempt.row());
-        String peer = attempt.row().target().id().value();
+        attempt.cancel();
+        components.crashDetector().onConnectionLost(attempt.targetState());
+        String peer = attempt.targetState().target().id().value();
         throw new StepException(Step.SEND, peer, Outcome.UNKNOWN, "answer broke off: " + item);
     }
 
     /** Passes on an answer that is too long to be held. What the caller has got of one that breaks off is not whole. */
-    private String passOn(Attempt attempt, AnswerFeed feed, Buffer begun) {
-        caller.beginWhole(attempt.response());
-        caller.write(begun);
+    private String passThrough(Attempt attempt, ResponseBodyReader reader, Buffer buffered) {
+        caller.startResponse(attempt.response());
+        caller.write(buffered);
         try {
-            Optional<Buffer> piece = next(attempt, feed);
-            while (piece.isPresent() && !caller.isGone()) {
-                caller.write(piece.get());
-                piece = next(attempt, feed);
+            Optional<Buffer> chunk = nextChunk(attempt, reader);
+            while (chunk.isPresent() && !caller.isGone()) {
+                caller.write(chunk.get());
+                chunk = nextChunk(attempt, reader);
             }
         } catch (StepException e) {
-            Attempt.logFailure(r, attempt.row(), e);
+            Attempt.logFailure(request, attempt.targetState(), e);
             caller.abort();
             return "failed: answer broke off";
         }
         if (caller.isGone()) {
-            attempt.drop();
+            attempt.cancel();
             return "caller left";
         }
-        attempt.row().answered(attempt.head().isServerError(), parts.timer().nanos());
-        parts.crashes().answered(r);
+        attempt.targetState()
+                .recordOutcome(
+                        attempt.head().isServerError(), components.timer().nanos());
+        components.crashDetector().onResponse(request);
         caller.end();
         return attempt.head().isSuccess() ? "served" : "target failed";
     }
 
     /** Ends a request that was not served: what is answered depends on whether a target may have run it. */
-    private String finish(int status, String reason) {
+    private String endUnserved(int status, String reason) {
         LogEvent.of("request.unserved")
-                .request(r.id())
+                .request(request.id())
                 .with("reason", reason)
                 .with("sends", sends)
                 .with("runs", runs)
                 .info(LOG);
         if (failure != null) {
-            caller.answer(failure.response(), failureBody);
+            caller.respond(failure.response(), failureBody);
             return "target failed";
         }
         if (runs == 0) {
             caller.refuse(CallerExchange.UNAVAILABLE, RETRY_AFTER);
             return "refused: " + reason;
         }
-        caller.answer(status);
+        caller.respond(status);
         return "failed: " + reason;
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/CallerExchange.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallerExchange.java
@@ -28,9 +28,9 @@
     static final int UNAVAILABLE = 503;
     static final int GATEWAY_TIMEOUT = 504;
     /** A caller that takes no bytes for this long is given up; it has left without closing. */
-    private static final Duration SLOW_READER = Duration.ofSeconds(10);
+    private static final Duration WRITE_TIMEOUT = Duration.ofSeconds(10);
 
-    private static final double MILLIS = 1_000;
+    private static final double MILLIS_PER_SECOND = 1_000;
     private static final String CHUNKED = "chunked";
 
     private final Vertx owner;
@@ -54,12 +54,12 @@
         this.request = Objects.requireNonNull(request, "request");
         this.response = request.response();
         this.stopping = Objects.requireNonNull(stopping, "stopping");
-        response.exceptionHandler(e -> left());
-        response.closeHandler(v -> left());
-        request.exceptionHandler(e -> left());
+        response.exceptionHandler(e -> onDisconnect());
+        response.closeHandler(v -> onDisconnect());
+        request.exceptionHandler(e -> onDisconnect());
     }
 
-    private void left() {
+    private void onDisconnect() {
         if (!gone && !response.ended()) {
             gone = true;
             onGone.run();
@@ -83,14 +83,14 @@
      * Tells whether the request states its end in a way that every program on the way understands (RFC 9112, section
      * 6.1): no transfer coding, or only "chunked". A length beside it does not count and is not passed on.
      */
-    boolean hasPlainFraming() {
+    boolean hasUnambiguousFraming() {
         List<String> codings = request.headers().getAll(HttpHeaders.TRANSFER_ENCODING);
         return codings.isEmpty()
                 || codings.size() == 1 && codings.getFirst().strip().equalsIgnoreCase(CHUNKED);
     }
 
     /** Closes the connection after the answer. */
-    void closeAfterAnswer() {
+    void closeAfterResponse() {
         closing = true;
     }
 
@@ -108,7 +108,7 @@
 
     /** How the arrival of a body ended. */
     enum BodyEnd {
-        WHOLE,
+        COMPLETE,
         /** It is longer than the configuration allows. */
         TOO_LARGE,
         /** The bodies of all open requests take too much memory. */
@@ -124,23 +124,23 @@
      * @param limit longest time that it may take
      * @throws TimeoutException if it has not arrived within the limit
      */
-    BodyEnd body(Buffer body, int maxBytes, BodyMemory memory, Duration limit) throws TimeoutException {
+    BodyEnd readBody(Buffer body, int maxBytes, BodyMemory memory, Duration limit) throws TimeoutException {
         Promise<BodyEnd> end = Promise.promise();
-        request.handler(part -> {
+        request.handler(chunk -> {
             if (end.future().isComplete()) {
                 return;
             }
-            if (body.length() + part.length() > maxBytes) {
+            if (body.length() + chunk.length() > maxBytes) {
                 end.tryComplete(BodyEnd.TOO_LARGE);
-            } else if (!memory.take(part.length())) {
+            } else if (!memory.reserve(chunk.length())) {
                 end.tryComplete(BodyEnd.NO_MEMORY);
             } else {
-                body.appendBuffer(part);
+                body.appendBuffer(chunk);
             }
         });
-        request.endHandler(v -> end.tryComplete(BodyEnd.WHOLE));
+        request.endHandler(v -> end.tryComplete(BodyEnd.COMPLETE));
         onGone = () -> end.tryFail("caller has left");
-        onRelease = () -> memory.giveBack(body.length());
+        onRelease = () -> memory.release(body.length());
         request.resume();
         return TimedAwait.await(end.future(), limit);
     }
@@ -153,13 +153,13 @@
 
     /** Answers that the request has not run and never will. */
     void refuse(int status, Duration retryAfter) {
-        String seconds = String.format(Locale.ROOT, "%.2f", retryAfter.toMillis() / MILLIS);
+        String seconds = String.format(Locale.ROOT, "%.2f", retryAfter.toMillis() / MILLIS_PER_SECOND);
         response.putHeader(HttpHeaders.RETRY_AFTER, seconds);
-        answer(status);
+        respond(status);
     }
 
     /** Answers with a status of this instance. */
-    void answer(int status) {
+    void respond(int status) {
         if (!gone && !response.headWritten()) {
             response.setStatusCode(status);
             end(Buffer.buffer());
@@ -167,54 +167,54 @@
     }
 
     /** Passes on a whole answer of a target. */
-    void answer(HttpClientResponse answer, Buffer body) {
+    void respond(HttpClientResponse targetResponse, Buffer body) {
         if (!gone) {
-            head(answer);
+            copyHead(targetResponse);
             end(body);
         }
     }
 
     /** Passes on the head of an answer whose body follows in pieces, from one target or several. */
-    void begin(HttpClientResponse answer) {
-        head(answer);
+    void startChunked(HttpClientResponse targetResponse) {
+        copyHead(targetResponse);
         response.setChunked(true);
         response.writeHead();
     }
 
     /** Passes on the head of an answer, with its length if it has one; its body follows in pieces. */
-    void beginWhole(HttpClientResponse answer) {
-        String length = answer.getHeader(HttpHeaders.CONTENT_LENGTH);
+    void startResponse(HttpClientResponse targetResponse) {
+        String length = targetResponse.getHeader(HttpHeaders.CONTENT_LENGTH);
         if (length == null) {
-            begin(answer);
+            startChunked(targetResponse);
             return;
         }
-        head(answer);
+        copyHead(targetResponse);
         response.putHeader(HttpHeaders.CONTENT_LENGTH, length);
         response.writeHead();
     }
 
-    private void head(HttpClientResponse answer) {
-        response.setStatusCode(answer.statusCode());
-        response.setStatusMessage(answer.statusMessage());
-        Headers.copy(answer.headers(), response.headers());
+    private void copyHead(HttpClientResponse targetResponse) {
+        response.setStatusCode(targetResponse.statusCode());
+        response.setStatusMessage(targetResponse.statusMessage());
+        Headers.copyEndToEnd(targetResponse.headers(), response.headers());
     }
 
     /** Tells whether the head of the answer has been passed on. */
-    boolean hasBegun() {
+    boolean isStarted() {
         return response.headWritten();
     }
 
     /** Passes on a piece of the body; waits while the caller is slow to read. */
-    void write(Buffer piece) {
+    void write(Buffer chunk) {
         if (gone) {
             return;
         }
-        response.write(piece);
+        response.write(chunk);
         if (response.writeQueueFull()) {
             Promise<Void> drained = Promise.promise();
             response.drainHandler(v -> drained.tryComplete());
             try {
-                TimedAwait.await(drained.future(), SLOW_READER);
+                TimedAwait.await(drained.future(), WRITE_TIMEOUT);
             } catch (TimeoutException e) {
                 abort();
             }
--- a/forward/src/main/java/org/verbenatally/forward/CrashDetector.java
+++ b/forward/src/main/java/org/verbenatally/forward/CrashDetector.java
@@ -29,13 +29,13 @@
     private static final int MAX_REMEMBERED = 4_096;
 
     /** Callers repeat a request that fails within seconds; an older answer says little about the present targets. */
-    private static final Duration RECENT = Duration.ofMinutes(1);
+    private static final Duration RECENT_RESPONSE = Duration.ofMinutes(1);
 
     private final SuspectTable suspects;
     private final TargetDirectory directory;
     private final TimerService timer;
     private final NetClient probes;
-    private final Map<Fingerprint, Long> answers = new LinkedHashMap<>() {
+    private final Map<Fingerprint, Long> lastResponses = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1;
 
         @Override
@@ -52,49 +52,51 @@
     }
 
     /** Tells whether a request is known to crash whatever target runs it. */
-    boolean isQuarantined(Fingerprint request) {
-        return suspects.check(request) == SuspectTable.Verdict.QUARANTINED && !wasAnsweredLately(request);
+    boolean isQuarantined(Fingerprint fingerprint) {
+        return suspects.check(fingerprint) == SuspectTable.Verdict.QUARANTINED && !hasRecentResponse(fingerprint);
     }
 
-    private synchronized boolean wasAnsweredLately(Fingerprint request) {
-        Long at = answers.get(request);
-        return at != null && timer.nanos() - at < RECENT.toNanos();
+    private synchronized boolean hasRecentResponse(Fingerprint fingerprint) {
+        Long at = lastResponses.get(fingerprint);
+        return at != null && timer.nanos() - at < RECENT_RESPONSE.toNanos();
     }
 
     /** Notes that a target has answered a request, which is then no suspect. */
-    synchronized void answered(ForwardedRequest r) {
-        answers.remove(r.fingerprint());
-        answers.put(r.fingerprint(), timer.nanos());
-        suspects.cleared(r.fingerprint());
+    synchronized void onResponse(ForwardedRequest request) {
+        lastResponses.remove(request.fingerprint());
+        lastResponses.put(request.fingerprint(), timer.nanos());
+        suspects.cleared(request.fingerprint());
     }
 
     /** A connection to a target broke; looks in the background whether the target died with all that it ran. */
-    void connectionBroke(TargetRow row) {
-        if (directory.isLeaving(row) || !row.doubt()) {
+    void onConnectionLost(TargetState state) {
+        if (directory.isLeaving(state) || !state.trySuspect()) {
             return;
         }
-        ForwardTarget target = row.target();
-        List<Flight> running = row.flights();
-        boolean alone = running.size() <= 1 && row.peerRequests() == 0;
+        ForwardTarget target = state.target();
+        List<InFlightRequest> running = state.inFlightRequests();
+        boolean alone = running.size() <= 1 && state.peerRequests() == 0;
         probes.connect(target.address().port(), target.address().host())
                 .onSuccess(socket -> {
                     socket.close();
-                    row.listens();
+                    state.onListening();
                 })
-                .onFailure(e -> crashed(target, running, alone, e));
+                .onFailure(e -> onCrash(target, running, alone, e));
     }
 
-    private void crashed(ForwardTarget target, List<Flight> running, boolean alone, Throwable reason) {
-        List<Flight> suspected = running.stream()
-                .filter(flight -> !wasAnsweredLately(flight.fingerprint()))
+    private void onCrash(ForwardTarget target, List<InFlightRequest> running, boolean alone, Throwable reason) {
+        List<InFlightRequest> suspected = running.stream()
+                .filter(inFlight -> !hasRecentResponse(inFlight.fingerprint()))
                 .toList();
         suspects.crashed(
-                target.id(), suspected.stream().map(Flight::fingerprint).toList(), alone);
-        suspected.forEach(flight -> LogEvent.of("target.crashed")
-                .request(flight.requestId())
+                target.id(),
+                suspected.stream().map(InFlightRequest::fingerprint).toList(),
+                alone);
+        suspected.forEach(inFlight -> LogEvent.of("target.crashed")
+                .request(inFlight.requestId())
                 .with("target", target.id())
                 .with("alone", alone)
-                .with("verdict", suspects.check(flight.fingerprint()))
+                .with("verdict", suspects.check(inFlight.fingerprint()))
                 .with("reason", reason.getMessage())
                 .info(LOG));
     }
--- a/forward/src/main/java/org/verbenatally/forward/EventSplitter.java
+++ b/forward/src/main/java/org/verbenatally/forward/EventSplitter.java
@@ -14,20 +14,20 @@
     static final int MAX_EVENT_BYTES = 1 << 20;
 
     /** The end of a line and an empty one: LF CR LF. */
-    private static final int LONGEST_EMPTY_LINE = 3;
+    private static final int MAX_EMPTY_LINE_BYTES = 3;
 
     private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
 
     /** What a target sends is no stream of events. */
-    static final class EndlessEventException extends Exception {
+    static final class EventTooLongException extends Exception {
         private static final long serialVersionUID = 1;
 
-        EndlessEventException() {
+        EventTooLongException() {
             super("event is longer than " + MAX_EVENT_BYTES + " bytes");
         }
     }
 
-    private Buffer rest = Buffer.buffer();
+    private Buffer incomplete = Buffer.buffer();
     private String lastId;
     private long count;
 
@@ -36,18 +36,18 @@
      *
      * @throws EndlessEventException if an event is too long
      */
-    Buffer take(Buffer part) throws EndlessEventException {
+    Buffer append(Buffer chunk) throws EventTooLongException {
         // An empty line may have begun in what was left.
-        int seen = Math.max(0, rest.length() - LONGEST_EMPTY_LINE);
-        Buffer all = rest.length() == 0 ? part : rest.appendBuffer(part);
-        int end = endOfLastEvent(all, seen);
+        int searchFrom = Math.max(0, incomplete.length() - MAX_EMPTY_LINE_BYTES);
+        Buffer all = incomplete.length() == 0 ? chunk : incomplete.appendBuffer(chunk);
+        int end = endOfLastEvent(all, searchFrom);
         if (all.length() - end > MAX_EVENT_BYTES) {
-            throw new EndlessEventException();
+            throw new EventTooLongException();
         }
-        rest = end == all.length() ? Buffer.buffer() : Buffer.buffer(all.getBytes(end, all.length()));
-        Buffer whole = all.slice(0, end);
-        readIds(whole);
-        return whole;
+        incomplete = end == all.length() ? Buffer.buffer() : Buffer.buffer(all.getBytes(end, all.length()));
+        Buffer complete = all.slice(0, end);
+        parseIds(complete);
+        return complete;
     }
 
     /** An event ends with an empty line; lines end with LF or CRLF. */
@@ -64,25 +64,25 @@
         return 0;
     }
 
-    private void readIds(Buffer whole) {
+    private void parseIds(Buffer complete) {
         int start = 0;
-        for (int i = 0; i < whole.length(); i++) {
-            if (whole.getByte(i) == '\n') {
-                if (startsWithId(whole, start, i)) {
+        for (int i = 0; i < complete.length(); i++) {
+            if (complete.getByte(i) == '\n') {
+                if (startsWithId(complete, start, i)) {
                     count++;
-                    lastId = whole.getString(start + ID.length, i, "UTF-8").strip();
+                    lastId = complete.getString(start + ID.length, i, "UTF-8").strip();
                 }
                 start = i + 1;
             }
         }
     }
 
-    private static boolean startsWithId(Buffer whole, int start, int end) {
+    private static boolean startsWithId(Buffer complete, int start, int end) {
         if (end - start <= ID.length) {
             return false;
         }
         for (int i = 0; i < ID.length; i++) {
-            if (whole.getByte(start + i) != ID[i]) {
+            if (complete.getByte(start + i) != ID[i]) {
                 return false;
             }
         }
@@ -100,12 +100,12 @@
     }
 
     /** Tells whether bytes of an event are left that has not ended. */
-    boolean hasRest() {
-        return rest.length() > 0;
+    boolean hasIncompleteEvent() {
+        return incomplete.length() > 0;
     }
 
     /** Drops the bytes of an event that will not end. */
-    void dropRest() {
-        rest = Buffer.buffer();
+    void discardIncompleteEvent() {
+        incomplete = Buffer.buffer();
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardParts.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
@@ -8,22 +8,22 @@
  * @param timer clock
  * @param directory targets
  * @param chooser chooses targets
- * @param line generations that wait for an engine
+ * @param waitQueue generations that wait for an engine
  * @param client connections to targets
  * @param codec translates heads
- * @param repeats bounds repeated sends
- * @param crashes finds requests that crash their targets
- * @param bodies bounds the memory of request bodies
+ * @param retryAllowance bounds repeated sends
+ * @param crashDetector finds requests that crash their targets
+ * @param bodyMemory bounds the memory of request bodies
  * @param metrics counters
  */
-record ForwardParts(
+record ForwardComponents(
         TimerService timer,
         TargetDirectory directory,
         TargetChooser chooser,
-        WaitingLine line,
+        WaitQueue waitQueue,
         TargetClient client,
         WireCodec codec,
-        RepeatAllowance repeats,
-        CrashDetector crashes,
-        BodyMemory bodies,
+        RepeatAllowance retryAllowance,
+        CrashDetector crashDetector,
+        BodyMemory bodyMemory,
         ForwardMetrics metrics) {}
--- a/forward/src/main/java/org/verbenatally/forward/ForwardDeployment.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardDeployment.java
@@ -53,12 +53,12 @@
         this.limits = Objects.requireNonNull(limits, "limits");
         this.credentials = Map.copyOf(credentials);
         this.routes = new HashMap<>();
-        routes.forEach(r -> this.routes.putIfAbsent(new Prefix(lower(r.host()), r.pathPrefix()), r));
+        routes.forEach(r -> this.routes.putIfAbsent(new Prefix(lowerCase(r.host()), r.pathPrefix()), r));
         this.services = new HashMap<>();
         services.forEach(s -> this.services.put(s.name(), s));
     }
 
-    private static String lower(String host) {
+    private static String lowerCase(String host) {
         return host.toLowerCase(Locale.ROOT);
     }
 
@@ -74,9 +74,9 @@
 
     /** Returns the route of a host whose prefix is the longest that begins the path. */
     public Optional<Route> route(String host, String path) {
-        String lower = lower(host);
+        String lowerCase = lowerCase(host);
         for (int slash = path.lastIndexOf('/'); slash >= 0; slash = path.lastIndexOf('/', slash - 1)) {
-            Route route = routes.get(new Prefix(lower, path.substring(0, slash + 1)));
+            Route route = routes.get(new Prefix(lowerCase, path.substring(0, slash + 1)));
             if (route != null) {
                 return Optional.of(route);
             }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
@@ -25,20 +25,23 @@
     private static final Duration QUARANTINE_RETRY_AFTER = Duration.ofMinutes(15);
 
     /** A starting instance knows its configuration half a second after it listens, longer on a slow machine. */
-    private static final Duration START_WAIT = Duration.ofSeconds(1);
+    private static final Duration MAX_CONFIG_WAIT = Duration.ofSeconds(1);
 
-    private static final Duration START_CHECK = Duration.ofMillis(10);
+    private static final Duration CONFIG_CHECK_INTERVAL = Duration.ofMillis(10);
     /** Callers that state no patience are waited for this long while they send their body. */
     private static final Duration BODY_TIMEOUT = Duration.ofSeconds(10);
 
-    private final ForwardParts parts;
+    private final ForwardComponents components;
     private final Supplier<Optional<ForwardDeployment>> deployment;
     private final Shutdown shutdown;
     private final Context context;
 
     ForwardHandler(
-            ForwardParts parts, Supplier<Optional<ForwardDeployment>> deployment, Shutdown shutdown, Context context) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+            ForwardComponents components,
+            Supplier<Optional<ForwardDeployment>> deployment,
+            Shutdown shutdown,
+            Context context) {
+        this.components = Objects.requireNonNull(components, "components");
         this.deployment = Objects.requireNonNull(deployment, "deployment");
         this.shutdown = Objects.requireNonNull(shutdown, "shutdown");
         this.context = Objects.requireNonNull(context, "context");
@@ -63,11 +66,11 @@
     }
 
     void handle(HttpServerRequest request) {
-        long start = parts.timer().nanos();
-        shutdown.begin();
+        long start = components.timer().nanos();
+        shutdown.onRequestStart();
         CallerExchange caller = new CallerExchange(context.owner(), request, shutdown::isStopping);
         try {
-            run(caller, start);
+            forward(caller, start);
         } catch (Rejected e) {
             reject(caller, e);
         } catch (Exception e) {
@@ -78,12 +81,12 @@
             caller.abort();
         } finally {
             caller.release();
-            shutdown.end();
+            shutdown.onRequestEnd();
         }
     }
 
     private void reject(CallerExchange caller, Rejected e) {
-        parts.metrics().count("rejected");
+        components.metrics().countDecision("rejected");
         LogEvent.of("request.rejected")
                 .with("status", e.status)
                 .with("reason", e.getMessage())
@@ -93,45 +96,51 @@
         if (e.status == CallerExchange.UNAVAILABLE) {
             caller.refuse(e.status, e.retryAfter);
         } else {
-            caller.answer(e.status);
+            caller.respond(e.status);
         }
     }
 
-    private void run(CallerExchange caller, long start) throws Rejected {
-        ForwardedRequest r = accept(caller, start);
-        boolean generates = r.route().repetition() == Repetition.GENERATION
-                && r.service().engine().isPresent();
+    private void forward(CallerExchange caller, long start) throws Rejected {
+        ForwardedRequest forwarded = accept(caller, start);
+        boolean generates = forwarded.route().repetition() == Repetition.GENERATION
+                && forwarded.service().engine().isPresent();
         String outcome = generates
-                ? new StreamRun(parts, r, r.head().generation().orElse(Generation.UNKNOWN), caller, context).run()
-                : new CallRun(parts, r, caller).run();
-        Duration took = Duration.ofNanos(parts.timer().nanos() - start);
-        parts.metrics().ended(r.route().repetition(), outcome, took);
+                ? new StreamRun(
+                                components,
+                                forwarded,
+                                forwarded.head().generation().orElse(Generation.UNKNOWN),
+                                caller,
+                                context)
+                        .run()
+                : new CallRun(components, forwarded, caller).run();
+        Duration elapsed = Duration.ofNanos(components.timer().nanos() - start);
+        components.metrics().recordRequest(forwarded.route().repetition(), outcome, elapsed);
         LogEvent.of("request.ended")
-                .request(r.id())
+                .request(forwarded.id())
                 .with("outcome", outcome)
-                .with("ms", took.toMillis())
+                .with("ms", elapsed.toMillis())
                 .info(LOG);
     }
 
     /** Reads and checks a request, against the configuration that is in force when its body has arrived. */
     private ForwardedRequest accept(CallerExchange caller, long start) throws Rejected {
-        if (!caller.hasPlainFraming()) {
-            caller.closeAfterAnswer();
+        if (!caller.hasUnambiguousFraming()) {
+            caller.closeAfterResponse();
             throw new Rejected(CallerExchange.BAD_REQUEST, "the transfer coding is not supported");
         }
         RequestHead head;
         try {
-            head = parts.codec().read(caller.request());
+            head = components.codec().read(caller.request());
         } catch (IllegalArgumentException e) {
             throw new Rejected(CallerExchange.BAD_REQUEST, e.getMessage());
         }
-        ForwardDeployment present = awaitDeployment(caller, head.patience().orElse(BODY_TIMEOUT));
-        checkHead(caller.request(), present);
-        Buffer body = body(caller, head, present);
-        ForwardDeployment d = deployment.get().orElse(present);
+        ForwardDeployment initial = awaitDeployment(caller, head.patience().orElse(BODY_TIMEOUT));
+        checkHead(caller.request(), initial);
+        Buffer body = readBody(caller, head, initial);
+        ForwardDeployment d = deployment.get().orElse(initial);
         Route route =
                 d.route(head.host(), head.path()).orElseThrow(() -> new Rejected(CallerExchange.NOT_FOUND, "no route"));
-        Optional<OrganisationId> organisation = organisation(d, route, head);
+        Optional<OrganisationId> organisation = authenticate(d, route, head);
         ServiceSpec service = d.service(route.service(head.id().hashCode()))
                 .orElseThrow(() -> new Rejected(CallerExchange.UNAVAILABLE, "route names an unknown service"));
         Duration patience =
@@ -141,29 +150,29 @@
         }
         Fingerprint fingerprint =
                 Fingerprint.of(organisation.map(OrganisationId::value).orElse(""), head.path(), body.getBytes());
-        if (parts.crashes().isQuarantined(fingerprint)) {
+        if (components.crashDetector().isQuarantined(fingerprint)) {
             throw new Rejected(CallerExchange.UNAVAILABLE, "this request crashes its targets", QUARANTINE_RETRY_AFTER);
         }
-        ForwardedRequest r =
+        ForwardedRequest forwarded =
                 new ForwardedRequest(head, route, service, organisation, body, fingerprint, start + patience.toNanos());
         LogEvent.of("request.accepted")
-                .request(r.id())
+                .request(forwarded.id())
                 .with("route", route.name())
                 .with("service", service.name())
                 .with("organisation", organisation.map(Object::toString).orElse(""))
                 .with("patienceMs", patience.toMillis())
                 .with("version", d.version().value())
                 .info(LOG);
-        return r;
+        return forwarded;
     }
 
     /** Waits for the first configuration, at most for half of the caller's patience, so that it can come back. */
     private ForwardDeployment awaitDeployment(CallerExchange caller, Duration patience) throws Rejected {
-        long until = parts.timer().nanos() + Math.min(START_WAIT.toNanos(), patience.toNanos() / 2);
-        while ((deployment.get().isEmpty() || !parts.directory().isKnown())
+        long waitEnd = components.timer().nanos() + Math.min(MAX_CONFIG_WAIT.toNanos(), patience.toNanos() / 2);
+        while ((deployment.get().isEmpty() || !components.directory().isKnown())
                 && !caller.isGone()
-                && parts.timer().nanos() - until < 0) {
-            TimedAwait.pause(caller.owner(), START_CHECK);
+                && components.timer().nanos() - waitEnd < 0) {
+            TimedAwait.pause(caller.owner(), CONFIG_CHECK_INTERVAL);
         }
         return deployment
                 .get()
@@ -182,20 +191,20 @@
         }
     }
 
-    private Buffer body(CallerExchange caller, RequestHead head, ForwardDeployment d) throws Rejected {
+    private Buffer readBody(CallerExchange caller, RequestHead head, ForwardDeployment d) throws Rejected {
         Buffer body = Buffer.buffer();
         CallerExchange.BodyEnd end;
         try {
-            end = caller.body(
+            end = caller.readBody(
                     body,
                     d.limits().bodyBytes(),
-                    parts.bodies(),
+                    components.bodyMemory(),
                     head.patience().orElse(BODY_TIMEOUT));
         } catch (TimeoutException e) {
             throw new Rejected(CallerExchange.UNAVAILABLE, "body did not arrive in time");
         }
         return switch (end) {
-            case WHOLE -> body;
+            case COMPLETE -> body;
             case TOO_LARGE ->
                 throw new Rejected(
                         CallerExchange.TOO_LARGE,
@@ -205,7 +214,7 @@
         };
     }
 
-    private static Optional<OrganisationId> organisation(ForwardDeployment d, Route route, RequestHead head)
+    private static Optional<OrganisationId> authenticate(ForwardDeployment d, Route route, RequestHead head)
             throws Rejected {
         Optional<OrganisationId> organisation = head.credential().flatMap(d::organisation);
         if (organisation.isEmpty() && d.needsCredential() && !route.open()) {
--- a/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
@@ -14,17 +14,17 @@
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
     /** Counts the end of a request. */
-    void ended(Repetition repetition, String outcome, Duration took) {
+    void recordRequest(Repetition repetition, String outcome, Duration elapsed) {
         Timer.builder("verbenatally.requests")
                 .tag("repetition", repetition.name())
                 .tag("outcome", outcome)
                 .publishPercentileHistogram(false)
                 .register(registry)
-                .record(took);
+                .record(elapsed);
     }
 
     /** Counts a decision. */
-    public void count(String decision) {
+    public void countDecision(String decision) {
         Counter.builder("verbenatally.decisions")
                 .tag("decision", decision)
                 .register(registry)
@@ -32,7 +32,7 @@
     }
 
     /** Shows a value that changes by itself. */
-    public void gauge(String name, Supplier<Number> value) {
+    public void registerGauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
     }
 
--- a/forward/src/main/java/org/verbenatally/forward/ForwardOptions.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardOptions.java
@@ -17,7 +17,7 @@
  * @param peers options of the peer network
  * @param grace time between the request to stop and the end of the process
  * @param drain time within which a target that leaves must get no new work
- * @param repeats bound of repeated sends
+ * @param retryRule bound of repeated sends
  */
 public record ForwardOptions(
         Address callers,
@@ -27,7 +27,7 @@
         PeerOptions peers,
         Duration grace,
         Duration drain,
-        RepeatAllowance.Rule repeats) {
+        RepeatAllowance.Rule retryRule) {
 
     /** Checks that the parts are there. */
     public ForwardOptions {
@@ -38,6 +38,6 @@
         Objects.requireNonNull(peers, "peers");
         Objects.requireNonNull(grace, "grace");
         Objects.requireNonNull(drain, "drain");
-        Objects.requireNonNull(repeats, "repeats");
+        Objects.requireNonNull(retryRule, "retryRule");
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
@@ -59,7 +59,7 @@
 
     @Override
     public void onTargetLoads(InstanceId from, List<TargetLoad> loads) {
-        directory.peerLoads(from, loads);
+        directory.updatePeerLoads(from, loads);
     }
 
     /** Whether a target leaves is part of its published entry. */
@@ -77,17 +77,17 @@
 
     @Override
     public void checkPublished(List<PublishedTarget> entries) {
-        entries.forEach(TargetNews::target);
+        entries.forEach(PublishedTargetCodec::decode);
     }
 
     @Override
     public void onPublished(List<PublishedTarget> entries) {
-        directory.heard(entries);
+        directory.applyUpdates(entries);
     }
 
     @Override
     public void onPublishedAge(Duration age) {
-        directory.heardAsOf(age);
+        directory.updateAge(age);
     }
 
     @Override
@@ -101,8 +101,8 @@
     }
 
     @Override
-    public void onSuspects(InstanceId from, List<Suspect> rows) {
-        suspects.merge(from, rows);
+    public void onSuspects(InstanceId from, List<Suspect> records) {
+        suspects.merge(from, records);
     }
 
     @Override
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -45,7 +45,7 @@
     private final SuspectTable suspects;
     private final ForwardMetrics metrics = new ForwardMetrics();
     private final Shutdown shutdown;
-    private final ForwardParts parts;
+    private final ForwardComponents components;
     private volatile Peers<ForwardDeployment> peers;
 
     /**
@@ -60,29 +60,31 @@
         this.options = Objects.requireNonNull(options, "options");
         this.vertx = Objects.requireNonNull(vertx, "vertx");
         this.timer = Objects.requireNonNull(timer, "timer");
-        this.directory = new TargetDirectory(timer, this::publish, this::loadsChanged);
+        this.directory = new TargetDirectory(timer, this::publishToPeers, this::loadsChanged);
         this.suspects = new SuspectTable(timer);
         this.shutdown = new Shutdown(timer, options.grace());
-        this.parts = new ForwardParts(
+        this.components = new ForwardComponents(
                 timer,
                 directory,
                 new TargetChooser(timer, directory, options.peers().failureDomain()),
-                new WaitingLine(timer),
+                new WaitQueue(timer),
                 new TargetClient(vertx, this::liveMembers),
                 codec,
-                new RepeatAllowance(timer, options.repeats(), this::liveMembers),
+                new RepeatAllowance(timer, options.retryRule(), this::liveMembers),
                 new CrashDetector(suspects, directory, timer, vertx),
                 new BodyMemory(),
                 metrics);
-        directory.onChange(parts.line()::wake);
-        metrics.gauge("verbenatally.open.requests", shutdown::open);
-        metrics.gauge("verbenatally.config.version", this::version);
-        metrics.gauge("verbenatally.waiting", () -> parts.line().size());
-        metrics.gauge("verbenatally.body.bytes", () -> parts.bodies().taken());
-        metrics.gauge("verbenatally.members", this::liveMembers);
+        directory.onChange(components.waitQueue()::wake);
+        metrics.registerGauge("verbenatally.open.requests", shutdown::openRequests);
+        metrics.registerGauge("verbenatally.config.version", this::version);
+        metrics.registerGauge(
+                "verbenatally.waiting", () -> components.waitQueue().size());
+        metrics.registerGauge(
+                "verbenatally.body.bytes", () -> components.bodyMemory().reserved());
+        metrics.registerGauge("verbenatally.members", this::liveMembers);
     }
 
-    private void publish(List<PublishedTarget> entries) {
+    private void publishToPeers(List<PublishedTarget> entries) {
         Peers<ForwardDeployment> p = peers;
         if (p != null) {
             p.publish(entries);
@@ -115,9 +117,9 @@
     public void start(DocumentReader<ForwardDeployment> reader) {
         // Callers that connect before a configuration is known wait for it here, which is sooner than to come back.
         await(vertx.deployVerticle(
-                Callers::new, new DeploymentOptions().setThreadingModel(ThreadingModel.VIRTUAL_THREAD)));
+                CallerVerticle::new, new DeploymentOptions().setThreadingModel(ThreadingModel.VIRTUAL_THREAD)));
         await(vertx.deployVerticle(
-                Readiness::new, new DeploymentOptions().setThreadingModel(ThreadingModel.EVENT_LOOP)));
+                ReadinessVerticle::new, new DeploymentOptions().setThreadingModel(ThreadingModel.EVENT_LOOP)));
         peers = join(Peers.start(options.peers(), vertx, timer, config, reader, new ForwardPeers(directory, suspects)));
         peers.onConfig(d -> LogEvent.of("config.inForce")
                 .with("version", d.version().value())
@@ -143,12 +145,12 @@
      */
     public void reload(ForwardOptions next) {
         peers.seeds(next.peers().seeds());
-        shutdown.grace(next.grace());
-        parts.repeats().rule(next.repeats());
+        shutdown.setGrace(next.grace());
+        components.retryAllowance().setRule(next.retryRule());
         LogEvent.of("instance.reloaded")
                 .with("seeds", next.peers().seeds())
                 .with("graceMs", next.grace().toMillis())
-                .with("repeats", next.repeats())
+                .with("repeats", next.retryRule())
                 .info(LOG);
     }
 
@@ -189,11 +191,11 @@
         return shutdown.start();
     }
 
-    private final class Callers extends VerticleBase {
+    private final class CallerVerticle extends VerticleBase {
         @Override
         public Future<?> start() {
-            Context own = context;
-            ForwardHandler handler = new ForwardHandler(parts, config::deployment, shutdown, own);
+            Context ownContext = context;
+            ForwardHandler handler = new ForwardHandler(components, config::deployment, shutdown, ownContext);
             return vertx.createHttpServer(new HttpServerOptions()
                             .setMaxHeaderSize(MAX_HEADER_BYTES)
                             .setIdleTimeout(IDLE_SECONDS)
@@ -210,11 +212,11 @@
         }
     }
 
-    private final class Readiness extends VerticleBase {
+    private final class ReadinessVerticle extends VerticleBase {
         @Override
         public Future<?> start() {
             Future<?> ready = vertx.createHttpServer()
-                    .requestHandler(this::answer)
+                    .requestHandler(this::respond)
                     .listen(options.readiness().port(), options.readiness().host());
             Future<?> scrape = options.metrics().isEmpty()
                     ? Future.succeededFuture()
@@ -226,7 +228,7 @@
             return Future.all(ready, scrape);
         }
 
-        private void answer(HttpServerRequest request) {
+        private void respond(HttpServerRequest request) {
             int status = CallerExchange.NOT_FOUND;
             if (request.path().equals(options.readinessPath())) {
                 status = notReadyReason().isEmpty() ? OK : CallerExchange.UNAVAILABLE;
--- a/forward/src/main/java/org/verbenatally/forward/ForwardedRequest.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardedRequest.java
@@ -28,7 +28,7 @@
         long deadlineNanos) {
 
     /** Returns the time until the deadline; may be negative. */
-    Duration left(long now) {
+    Duration remaining(long now) {
         return Duration.ofNanos(deadlineNanos - now);
     }
 
--- a/forward/src/main/java/org/verbenatally/forward/Generation.java
+++ b/forward/src/main/java/org/verbenatally/forward/Generation.java
@@ -12,7 +12,7 @@
 public record Generation(long promptTokens, long maxTokens, OptionalLong expectedTokens) {
 
     /** Generations that are expected to make fewer tokens end before a copy of them would be of use. */
-    private static final long LEAST_LONG_TOKENS = 100;
+    private static final long MIN_LONG_TOKENS = 100;
 
     /** Stands for a generation whose caller tells nothing about it. */
     static final Generation UNKNOWN = new Generation(1_000, 1_000, OptionalLong.empty());
@@ -25,30 +25,31 @@
     /**
      * Tells whether the rest of the generation is likely to outlive the notice that its engine leaves.
      *
-     * @param made tokens made so far
+     * @param generated tokens made so far
      */
-    boolean isLong(long made) {
-        return expectedRest(made) >= LEAST_LONG_TOKENS;
+    boolean isLong(long generated) {
+        return expectedRemaining(generated) >= MIN_LONG_TOKENS;
     }
 
     /**
      * Returns the tokens that the generation is expected to make yet. One that has outgrown the estimate is likely to
      * go on for about half as long again.
      *
-     * @param made tokens made so far
+     * @param generated tokens made so far
      */
-    long expectedRest(long made) {
+    long expectedRemaining(long generated) {
         long expected = Math.min(maxTokens, expectedTokens.orElse(maxTokens / 2));
-        return Math.min(made < expected ? expected - made : made / 2, Math.max(0, maxTokens - made));
+        return Math.min(
+                generated < expected ? expected - generated : generated / 2, Math.max(0, maxTokens - generated));
     }
 
     /**
      * Returns the memory that the generation needs on average until its end, in tokens. Generations of one engine end
      * at different times, so planning for the end of each would leave much of the memory unused.
      *
-     * @param made tokens made so far
+     * @param generated tokens made so far
      */
-    long expectedMemory(long made) {
-        return promptTokens + made + expectedRest(made) / 2;
+    long expectedMemory(long generated) {
+        return promptTokens + generated + expectedRemaining(generated) / 2;
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/Headers.java
+++ b/forward/src/main/java/org/verbenatally/forward/Headers.java
@@ -10,7 +10,7 @@
 
 /** Copies the headers of a message that concern more than one connection (RFC 9110, section 7.6.1). */
 final class Headers {
-    private static final Set<String> ONE_CONNECTION = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -26,16 +26,16 @@
     private Headers() {}
 
     /** Adds all headers but those of one connection and the length, which the sender states anew. */
-    static void copy(MultiMap from, MultiMap to) {
-        Set<String> named = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
+    static void copyEndToEnd(MultiMap from, MultiMap to) {
+        Set<String> connectionOptions = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         for (String value : from.getAll(HttpHeaders.CONNECTION)) {
             for (String name : value.split(",")) {
-                named.add(name.strip());
+                connectionOptions.add(name.strip());
             }
         }
         for (Map.Entry<String, String> header : from) {
             String name = header.getKey();
-            if (!ONE_CONNECTION.contains(name.toLowerCase(Locale.ROOT)) && !named.contains(name)) {
+            if (!HOP_BY_HOP.contains(name.toLowerCase(Locale.ROOT)) && !connectionOptions.contains(name)) {
                 to.add(name, header.getValue());
             }
         }
--- a/forward/src/main/java/org/verbenatally/forward/Flight.java
+++ b/forward/src/main/java/org/verbenatally/forward/InFlightRequest.java
@@ -5,43 +5,43 @@
 import org.verbenatally.policy.Fingerprint;
 
 /** One request on its way at a target, as the load of that target. */
-final class Flight {
+final class InFlightRequest {
     private final String requestId;
     private final Fingerprint fingerprint;
-    private final TargetRow row;
-    private final TargetRow backup;
+    private final TargetState targetState;
+    private final TargetState backup;
     private final Generation generation;
     private final Runnable onLeaving;
     private final AtomicBoolean ended = new AtomicBoolean();
-    private volatile boolean reading = true;
-    private volatile long made;
+    private volatile boolean promptUnread = true;
+    private volatile long generated;
 
     /**
      * Creates a flight and books it.
      *
      * @param requestId id of the request
      * @param fingerprint the same for each repetition of the request by its caller
-     * @param row where it runs
+     * @param state where it runs
      * @param backup engine that keeps a copy, or {@code null}
      * @param generation the generation that it makes, or {@code null} at a plain service
      * @param onLeaving told when the target is known to leave
      */
-    Flight(
+    InFlightRequest(
             String requestId,
             Fingerprint fingerprint,
-            TargetRow row,
-            TargetRow backup,
+            TargetState targetState,
+            TargetState backup,
             Generation generation,
             Runnable onLeaving) {
         this.requestId = requestId;
         this.fingerprint = fingerprint;
-        this.row = row;
+        this.targetState = targetState;
         this.backup = backup;
         this.generation = generation;
         this.onLeaving = onLeaving;
-        row.begin(this);
+        targetState.addInFlight(this);
         if (backup != null) {
-            backup.keepCopy(this);
+            backup.reserveCopy(this);
         }
     }
 
@@ -53,31 +53,31 @@
         return fingerprint;
     }
 
-    TargetRow row() {
-        return row;
+    TargetState targetState() {
+        return targetState;
     }
 
-    TargetRow backup() {
+    TargetState backup() {
         return backup;
     }
 
     /** Returns the memory that it is expected to need, in tokens. */
-    long memory() {
-        return generation == null ? 0 : generation.expectedMemory(made);
+    long expectedMemory() {
+        return generation == null ? 0 : generation.expectedMemory(generated);
     }
 
     /** Returns the tokens of the prompt that may still have to be read. */
     long unreadTokens() {
-        return reading && generation != null ? generation.promptTokens() : 0;
+        return promptUnread && generation != null ? generation.promptTokens() : 0;
     }
 
     /** Notes the tokens made so far, once there are any. */
-    void made(long tokens) {
-        boolean first = reading;
-        reading = false;
-        made = tokens;
-        if (first) {
-            row.loadChanged(this);
+    void setGenerated(long tokens) {
+        boolean firstTokens = promptUnread;
+        promptUnread = false;
+        generated = tokens;
+        if (firstTokens) {
+            targetState.loadChanged(this);
         }
     }
 
@@ -87,14 +87,14 @@
 
     /** Tells whether the generation is likely to outlive the notice that its engine leaves. */
     boolean isLong() {
-        return generation != null && generation.isLong(made);
+        return generation != null && generation.isLong(generated);
     }
 
     boolean hasEnded() {
         return ended.get();
     }
 
-    void targetLeaves() {
+    void onTargetLeaving() {
         onLeaving.run();
     }
 
@@ -102,9 +102,9 @@
         if (!ended.compareAndSet(false, true)) {
             return;
         }
-        row.end(this);
+        targetState.removeInFlight(this);
         if (backup != null) {
-            backup.dropCopy(this);
+            backup.releaseCopy(this);
         }
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/TargetNews.java
+++ b/forward/src/main/java/org/verbenatally/forward/PublishedTargetCodec.java
@@ -10,11 +10,11 @@
 import org.verbenatally.wire.TargetEntry;
 
 /** Translates published entries from and to the form in which instances pass them on. */
-final class TargetNews {
-    private TargetNews() {}
+final class PublishedTargetCodec {
+    private PublishedTargetCodec() {}
 
-    static PublishedTarget of(ForwardTarget target, long revision) {
-        return withdrawn(target.id(), revision)
+    static PublishedTarget encode(ForwardTarget target, long revision) {
+        return encodeRemoval(target.id(), revision)
                 .setEntry(new TargetEntry(
                         target.service().value(),
                         target.address().host(),
@@ -26,7 +26,7 @@
                         target.coldMs()));
     }
 
-    static PublishedTarget withdrawn(TargetId id, long revision) {
+    static PublishedTarget encodeRemoval(TargetId id, long revision) {
         return new PublishedTarget(id.value(), revision);
     }
 
@@ -35,7 +35,7 @@
      *
      * @throws IllegalArgumentException if a field is not valid; the message names it
      */
-    static Optional<ForwardTarget> target(PublishedTarget entry) {
+    static Optional<ForwardTarget> decode(PublishedTarget entry) {
         TargetId id = new TargetId(entry.getTarget());
         return Optional.ofNullable(entry.getEntry())
                 .map(e -> new ForwardTarget(
--- a/forward/src/main/java/org/verbenatally/forward/ReadPace.java
+++ b/forward/src/main/java/org/verbenatally/forward/ReadPace.java
@@ -14,22 +14,22 @@
     /** A departure is noticed within about an eighth of a second, of the second or two that an engine gives. */
     private static final int FLEET_READS_PER_SECOND = 8;
 
-    private static final Duration SHORTEST_PAUSE = Duration.ofSeconds(1);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(60);
+    private static final Duration MIN_PAUSE = Duration.ofSeconds(1);
+    private static final Duration MAX_PAUSE = Duration.ofSeconds(60);
     /** While the source cannot be read all instances try, and one that succeeds tells the others. */
-    private static final Duration LONGEST_RETRY = Duration.ofSeconds(2);
+    private static final Duration MAX_RETRY_PAUSE = Duration.ofSeconds(2);
     /** Pauses are up to this part shorter, so that instances that started together do not stay in step. */
-    private static final double SPREAD = 0.3;
+    private static final double JITTER = 0.3;
 
     /** A configuration that could not be read is asked for again after this time, then after twice as long. */
     private static final Duration FIRST_RETRY = Duration.ofMillis(200);
     /** Gives 800 ms; a version must be in force within two seconds or more. */
-    private static final int MOST_DOUBLINGS = 2;
+    private static final int MAX_DOUBLINGS = 2;
 
     /** A watch that hears nothing is renewed after this time, which bounds the harm of a silent connection. */
-    private static final Duration SHORTEST_WATCH = Duration.ofSeconds(4);
+    private static final Duration MIN_WATCH = Duration.ofSeconds(4);
     /** Longest watch that the source allows. */
-    private static final Duration LONGEST_WATCH = Duration.ofSeconds(30);
+    private static final Duration MAX_WATCH = Duration.ofSeconds(30);
 
     private static final int FLEET_WATCHES_PER_SECOND = 2;
 
@@ -50,12 +50,12 @@
         this.random = Objects.requireNonNull(random, "random");
     }
 
-    private static Duration share(int members, int perSecond) {
+    private static Duration interval(int members, int perSecond) {
         return Duration.ofSeconds(1).multipliedBy(Math.max(1, members)).dividedBy(perSecond);
     }
 
-    private static Duration clamp(Duration value, Duration least, Duration most) {
-        return value.compareTo(least) < 0 ? least : value.compareTo(most) > 0 ? most : value;
+    private static Duration clamp(Duration value, Duration min, Duration max) {
+        return value.compareTo(min) < 0 ? min : value.compareTo(max) > 0 ? max : value;
     }
 
     /**
@@ -65,11 +65,11 @@
      * @param members live instances, this one included
      * @param age age of the list that is known, by own reads or by those of others; empty if none is
      */
-    public Duration pause(int members, Optional<Duration> age) {
-        Duration longest = untilStale(age).isZero() ? LONGEST_RETRY : LONGEST_PAUSE;
-        Duration pause = clamp(share(members, FLEET_READS_PER_SECOND), SHORTEST_PAUSE, longest);
-        double part = 1 - SPREAD * random.getAsDouble();
-        return Duration.ofNanos((long) (pause.toNanos() * part));
+    public Duration nextPause(int members, Optional<Duration> age) {
+        Duration longest = timeUntilStale(age).isZero() ? MAX_RETRY_PAUSE : MAX_PAUSE;
+        Duration pause = clamp(interval(members, FLEET_READS_PER_SECOND), MIN_PAUSE, longest);
+        double factor = 1 - JITTER * random.getAsDouble();
+        return Duration.ofNanos((long) (pause.toNanos() * factor));
     }
 
     /**
@@ -77,14 +77,16 @@
      *
      * @param age age of the list that is known; empty if none is
      */
-    public Duration untilStale(Optional<Duration> age) {
-        return age.map(staleAfter::minus).filter(rest -> !rest.isNegative()).orElse(Duration.ZERO);
+    public Duration timeUntilStale(Optional<Duration> age) {
+        return age.map(staleAfter::minus)
+                .filter(remaining -> !remaining.isNegative())
+                .orElse(Duration.ZERO);
     }
 
     /** Returns the shortest pause between two reads that follow from an old list. */
-    public Duration leastPause() {
-        double part = 1 - SPREAD * random.getAsDouble();
-        return Duration.ofNanos((long) (SHORTEST_PAUSE.toNanos() * part));
+    public Duration minPause() {
+        double factor = 1 - JITTER * random.getAsDouble();
+        return Duration.ofNanos((long) (MIN_PAUSE.toNanos() * factor));
     }
 
     /**
@@ -94,13 +96,13 @@
      * @param failures how often it was asked for in vain, at least once
      */
     public Duration retry(int failures) {
-        Duration longest = FIRST_RETRY.multipliedBy(1L << Math.min(failures, MOST_DOUBLINGS + 1) - 1);
-        double part = 1 - SPREAD * random.getAsDouble();
-        return Duration.ofNanos((long) (longest.toNanos() * part));
+        Duration longest = FIRST_RETRY.multipliedBy(1L << Math.min(failures, MAX_DOUBLINGS + 1) - 1);
+        double factor = 1 - JITTER * random.getAsDouble();
+        return Duration.ofNanos((long) (longest.toNanos() * factor));
     }
 
     /** Returns how long one watch of the configuration waits; in a large fleet others hear of a change as well. */
     public Duration watch(int members) {
-        return clamp(share(members, FLEET_WATCHES_PER_SECOND), SHORTEST_WATCH, LONGEST_WATCH);
+        return clamp(interval(members, FLEET_WATCHES_PER_SECOND), MIN_WATCH, MAX_WATCH);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/ReadTurns.java
+++ b/forward/src/main/java/org/verbenatally/forward/ReadTurns.java
@@ -13,12 +13,12 @@
  */
 public final class ReadTurns {
     /** Shortest time between two looks at the age of the list. */
-    private static final Duration SHORTEST_REST = Duration.ofMillis(50);
+    private static final Duration MIN_CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final TimerService timer;
     private final ReadPace pace;
-    private long turn;
-    private long earliest;
+    private long nextTurn;
+    private long earliestEarlyRead;
 
     /**
      * Creates turns that begin now.
@@ -28,8 +28,8 @@
     public ReadTurns(TimerService timer, ReadPace pace) {
         this.timer = Objects.requireNonNull(timer, "timer");
         this.pace = Objects.requireNonNull(pace, "pace");
-        this.turn = timer.nanos();
-        this.earliest = turn;
+        this.nextTurn = timer.nanos();
+        this.earliestEarlyRead = nextTurn;
     }
 
     /**
@@ -40,21 +40,26 @@
      */
     public void tried(int members, Optional<Duration> age) {
         long now = timer.nanos();
-        long next = now + pace.pause(members, age).toNanos();
+        long next = now + pace.nextPause(members, age).toNanos();
         // Nobody can tell anything of a source that is down, so that all would ask again as soon as they may.
-        earliest =
-                pace.untilStale(age).isZero() ? next : now + pace.leastPause().toNanos();
-        turn = turn - now <= 0 ? next : Math.min(turn, next);
+        earliestEarlyRead =
+                pace.timeUntilStale(age).isZero() ? next : now + pace.minPause().toNanos();
+        nextTurn = nextTurn - now <= 0 ? next : Math.min(nextTurn, next);
     }
 
     /** Returns how long to rest before the next look at the age of the list; zero if it is to be read now. */
     public Duration rest(Optional<Duration> age) {
         long now = timer.nanos();
-        long rest = Math.min(turn, Math.max(earliest, now + pace.untilStale(age).toNanos())) - now;
+        long rest = Math.min(
+                        nextTurn,
+                        Math.max(
+                                earliestEarlyRead,
+                                now + pace.timeUntilStale(age).toNanos()))
+                - now;
         if (rest <= 0) {
             return Duration.ZERO;
         }
-        long longest = Math.max(rest, Math.min(SHORTEST_REST.toNanos(), turn - now));
-        return Duration.ofNanos(longest);
+        long checkPause = Math.max(rest, Math.min(MIN_CHECK_INTERVAL.toNanos(), nextTurn - now));
+        return Duration.ofNanos(checkPause);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/RecentOutcomes.java
+++ b/forward/src/main/java/org/verbenatally/forward/RecentOutcomes.java
@@ -8,41 +8,41 @@
     private static final double HALF_LIFE_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     private double failures;
-    private double answers;
-    private long asOf;
+    private double responses;
+    private long updatedAt;
 
     /** Counts an answer. */
     synchronized void add(boolean failure, long now) {
-        age(now);
-        answers++;
+        decay(now);
+        responses++;
         if (failure) {
             failures++;
         }
     }
 
-    private void age(long now) {
+    private void decay(long now) {
         // Not older than the first count, as the origin of the clock may lie in the future.
-        double factor = Math.pow(0.5, Math.max(0, now - asOf) / HALF_LIFE_NANOS);
+        double factor = Math.pow(0.5, Math.max(0, now - updatedAt) / HALF_LIFE_NANOS);
         failures *= factor;
-        answers *= factor;
-        asOf = now;
+        responses *= factor;
+        updatedAt = now;
     }
 
     /** Forgets all, since the target has started anew. */
     synchronized void reset() {
         failures = 0;
-        answers = 0;
+        responses = 0;
     }
 
     /** Returns the failures that still count, rounded. */
     synchronized int failures(long now) {
-        age(now);
+        decay(now);
         return (int) Math.round(failures);
     }
 
     /** Returns the answers that still count, rounded; never fewer than the failures. */
-    synchronized int answers(long now) {
-        age(now);
-        return (int) Math.round(answers);
+    synchronized int responses(long now) {
+        decay(now);
+        return (int) Math.round(responses);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/RepeatAllowance.java
+++ b/forward/src/main/java/org/verbenatally/forward/RepeatAllowance.java
@@ -17,7 +17,7 @@
  */
 public final class RepeatAllowance {
     /** Part of the allowance that is used, since the windows and the members of two instances differ. */
-    private static final double USED_PART = 0.7;
+    private static final double USED_SHARE = 0.7;
     /** Targets that may turn a request away before it is refused. */
     private static final int MAX_SENDS = 3;
 
@@ -31,16 +31,16 @@
     public record Rule(double ratio, Duration window, int slack) {}
 
     private static final class Counts {
-        final Deque<Long> first = new ArrayDeque<>();
-        final Deque<Long> repeats = new ArrayDeque<>();
+        final Deque<Long> firstSends = new ArrayDeque<>();
+        final Deque<Long> retries = new ArrayDeque<>();
 
-        void trim(long until) {
-            trim(first, until);
-            trim(repeats, until);
+        void trim(long oldest) {
+            trim(firstSends, oldest);
+            trim(retries, oldest);
         }
 
-        private static void trim(Deque<Long> times, long until) {
-            while (!times.isEmpty() && times.peekFirst() - until < 0) {
+        private static void trim(Deque<Long> times, long oldest) {
+            while (!times.isEmpty() && times.peekFirst() - oldest < 0) {
                 times.removeFirst();
             }
         }
@@ -65,7 +65,7 @@
     }
 
     /** Replaces the rule; what was counted stays. */
-    void rule(Rule next) {
+    void setRule(Rule next) {
         rule = Objects.requireNonNull(next, "next");
     }
 
@@ -80,26 +80,27 @@
      *
      * @param sends how often it was sent before
      */
-    boolean maySend(ServiceName service, int sends) {
-        if (sends == 0) {
-            first(service);
+    boolean tryAcquire(ServiceName service, int previousSends) {
+        if (previousSends == 0) {
+            countFirstSend(service);
             return true;
         }
-        return sends < MAX_SENDS && tryRepeat(service);
+        return previousSends < MAX_SENDS && tryRetry(service);
     }
 
     /** Counts a first send. */
-    synchronized void first(ServiceName service) {
-        counts(service).first.addLast(timer.nanos());
+    synchronized void countFirstSend(ServiceName service) {
+        counts(service).firstSends.addLast(timer.nanos());
     }
 
     /** Takes one repeat, if the rule allows it. */
-    synchronized boolean tryRepeat(ServiceName service) {
+    synchronized boolean tryRetry(ServiceName service) {
         Counts counts = counts(service);
-        double most = rule.ratio() * counts.first.size() + rule.slack() / (double) Math.max(1, members.getAsInt());
-        boolean allowed = counts.repeats.size() + 1 <= USED_PART * most;
+        double limit =
+                rule.ratio() * counts.firstSends.size() + rule.slack() / (double) Math.max(1, members.getAsInt());
+        boolean allowed = counts.retries.size() + 1 <= USED_SHARE * limit;
         if (allowed) {
-            counts.repeats.addLast(timer.nanos());
+            counts.retries.addLast(timer.nanos());
         }
         return allowed;
     }
--- a/forward/src/main/java/org/verbenatally/forward/AnswerFeed.java
+++ b/forward/src/main/java/org/verbenatally/forward/ResponseBodyReader.java
@@ -15,13 +15,13 @@
  * Reads the body of one answer piece by piece, in the task that asks for it. Also carries signals to that task. All
  * methods must be called on the context of the exchange.
  */
-final class AnswerFeed {
+final class ResponseBodyReader {
     /** Pieces that are held before the target is told to wait for a slow caller. */
-    private static final int MAX_PIECES = 32;
+    private static final int MAX_QUEUED_CHUNKS = 32;
 
-    private static final long NO_ALARM = -1;
+    private static final long NO_TIMER = -1;
     /** Alarms are set in whole milliseconds. */
-    private static final long ALARM_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+    private static final long TIMER_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     /** What the next step of the answer is. */
     sealed interface Item {}
@@ -44,19 +44,19 @@
     private final Deque<Item> items = new ArrayDeque<>();
     private final HttpClientResponse response;
     private final Context context = Vertx.currentContext();
-    private Promise<Void> arrived;
-    private long waitUntil;
-    private long alarm = NO_ALARM;
-    private long alarmAt;
+    private Promise<Void> itemArrived;
+    private long waitEnd;
+    private long timerId = NO_TIMER;
+    private long timerEnd;
     private boolean timedOut;
     private boolean ended;
     private boolean signalled;
 
-    AnswerFeed(HttpClientResponse response) {
+    ResponseBodyReader(HttpClientResponse response) {
         this.response = response;
         response.handler(bytes -> {
             add(new Piece(bytes));
-            if (items.size() >= MAX_PIECES) {
+            if (items.size() >= MAX_QUEUED_CHUNKS) {
                 response.pause();
             }
         });
@@ -69,8 +69,8 @@
         if (!ended) {
             ended = true;
             // An alarm would keep what the exchange holds until it is over.
-            context.owner().cancelTimer(alarm);
-            alarm = NO_ALARM;
+            context.owner().cancelTimer(timerId);
+            timerId = NO_TIMER;
             add(item);
         }
     }
@@ -81,8 +81,8 @@
     }
 
     private void wake() {
-        if (arrived != null) {
-            arrived.tryComplete();
+        if (itemArrived != null) {
+            itemArrived.tryComplete();
         }
     }
 
@@ -90,20 +90,20 @@
      * Sets an alarm for the end of the present wait. It serves later waits as well, which mostly end sooner: an alarm
      * for each event would cost more than to pass the event on.
      */
-    private void setAlarm() {
-        context.owner().cancelTimer(alarm);
-        long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(waitUntil - System.nanoTime()));
-        alarmAt = waitUntil;
-        alarm = context.owner().setTimer(millis, id -> alarm());
+    private void startTimer() {
+        context.owner().cancelTimer(timerId);
+        long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(waitEnd - System.nanoTime()));
+        timerEnd = waitEnd;
+        timerId = context.owner().setTimer(millis, id -> onTimer());
     }
 
-    private void alarm() {
-        alarm = NO_ALARM;
-        if (arrived == null) {
+    private void onTimer() {
+        timerId = NO_TIMER;
+        if (itemArrived == null) {
             return;
         }
-        if (waitUntil - System.nanoTime() > ALARM_TOLERANCE_NANOS) {
-            setAlarm();
+        if (waitEnd - System.nanoTime() > TIMER_TOLERANCE_NANOS) {
+            startTimer();
         } else {
             timedOut = true;
             wake();
@@ -120,15 +120,15 @@
     Item next(Duration limit) {
         if (items.isEmpty() && !signalled) {
             timedOut = false;
-            waitUntil = System.nanoTime() + limit.toNanos();
-            arrived = Promise.promise();
-            if (alarm == NO_ALARM || waitUntil - alarmAt < 0) {
-                setAlarm();
+            waitEnd = System.nanoTime() + limit.toNanos();
+            itemArrived = Promise.promise();
+            if (timerId == NO_TIMER || waitEnd - timerEnd < 0) {
+                startTimer();
             }
             try {
-                arrived.future().await();
+                itemArrived.future().await();
             } finally {
-                arrived = null;
+                itemArrived = null;
             }
             if (timedOut && items.isEmpty() && !signalled) {
                 return new Silent();
--- a/forward/src/main/java/org/verbenatally/forward/Route.java
+++ b/forward/src/main/java/org/verbenatally/forward/Route.java
@@ -70,10 +70,10 @@
         if (total <= 0) {
             return shares.getFirst().service();
         }
-        int rest = Math.floorMod(choice, total);
+        int remaining = Math.floorMod(choice, total);
         for (Share share : shares) {
-            rest -= share.weight();
-            if (rest < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
--- a/forward/src/main/java/org/verbenatally/forward/Shutdown.java
+++ b/forward/src/main/java/org/verbenatally/forward/Shutdown.java
@@ -15,9 +15,9 @@
  */
 final class Shutdown {
     private static final Logger LOG = Logger.getLogger(Shutdown.class);
-    private static final Duration CHECK = Duration.ofMillis(100);
+    private static final Duration CHECK_INTERVAL = Duration.ofMillis(100);
     /** Part of the grace period in which new generations are still accepted. */
-    private static final double ACCEPTING_PART = 0.3;
+    private static final double ACCEPTING_SHARE = 0.3;
     /** The load balancer sends new connections until it has missed two answers, one second apart. */
     private static final Duration BALANCER_LAG = Duration.ofMillis(2_500);
     /** Time that the end of the process itself needs. */
@@ -37,19 +37,19 @@
     }
 
     /** Replaces the grace period. */
-    void grace(Duration next) {
+    void setGrace(Duration next) {
         grace = Objects.requireNonNull(next, "next");
     }
 
-    void begin() {
+    void onRequestStart() {
         open.incrementAndGet();
     }
 
-    void end() {
+    void onRequestEnd() {
         open.decrementAndGet();
     }
 
-    int open() {
+    int openRequests() {
         return open.get();
     }
 
@@ -77,7 +77,7 @@
         }
         Duration elapsed = elapsed();
         return repetition == Repetition.GENERATION
-                ? elapsed.toNanos() < ACCEPTING_PART * grace.toNanos()
+                ? elapsed.toNanos() < ACCEPTING_SHARE * grace.toNanos()
                 : elapsed.plus(patience).compareTo(grace.minus(EXIT_TIME)) < 0;
     }
 
@@ -87,7 +87,7 @@
             startNanos = timer.nanos();
             stopping = true;
             LogEvent.of("instance.stopping").with("open", open.get()).info(LOG);
-            timer.every(CHECK, tick -> check());
+            timer.every(CHECK_INTERVAL, tick -> check());
         }
         return done;
     }
@@ -98,8 +98,8 @@
         boolean idle = open.get() == 0 && elapsed.compareTo(BALANCER_LAG) > 0;
         boolean idleBefore = closing;
         closing = closing || idle;
-        boolean over = elapsed.compareTo(grace.minus(EXIT_TIME)) > 0;
-        if ((idle && idleBefore || over) && !done.isDone()) {
+        boolean expired = elapsed.compareTo(grace.minus(EXIT_TIME)) > 0;
+        if ((idle && idleBefore || expired) && !done.isDone()) {
             LogEvent.of("instance.stopped")
                     .with("open", open.get())
                     .with("ms", elapsed.toMillis())
--- a/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
@@ -20,20 +20,20 @@
     /** Continuations of one generation; each needs an engine that is lost within its life. */
     private static final int MAX_CONTINUATIONS = 8;
     /** A generation whose engine broke off this often without notice is not given to one more. */
-    private static final int MAX_BREAKS = 2;
+    private static final int MAX_LOSSES = 2;
     /** Longest wait for an engine to go on from a copy. */
     private static final Duration CONTINUE_TIMEOUT = Duration.ofSeconds(2);
 
-    private final ForwardParts parts;
-    private final ForwardedRequest r;
+    private final ForwardComponents components;
+    private final ForwardedRequest request;
     private final CallerExchange caller;
     private final EventSplitter events;
     private final StreamSender sender;
-    private final StreamMover mover;
+    private final StreamMigration migration;
     private int count;
-    private int breaks;
+    private int losses;
     /** The standing copy that was refused; it is not asked for again. */
-    private TargetRow refused;
+    private TargetState refusedBackup;
 
     /**
      * Creates the continuation of a generation that runs at its first engine.
@@ -41,18 +41,18 @@
      * @param events what the caller has got
      */
     StreamContinuation(
-            ForwardParts parts,
-            ForwardedRequest r,
+            ForwardComponents components,
+            ForwardedRequest request,
             CallerExchange caller,
             EventSplitter events,
             StreamSender sender,
-            StreamMover mover) {
-        this.parts = Objects.requireNonNull(parts, "parts");
-        this.r = Objects.requireNonNull(r, "r");
+            StreamMigration migration) {
+        this.components = Objects.requireNonNull(components, "components");
+        this.request = Objects.requireNonNull(request, "request");
         this.caller = Objects.requireNonNull(caller, "caller");
         this.events = Objects.requireNonNull(events, "events");
         this.sender = Objects.requireNonNull(sender, "sender");
-        this.mover = Objects.requireNonNull(mover, "mover");
+        this.migration = Objects.requireNonNull(migration, "migration");
     }
 
     /** Returns how often the generation was to go on at another engine. */
@@ -61,100 +61,102 @@
     }
 
     /** Tells whether there is a way to leave the engine now; starts to copy the generation if there is none. */
-    boolean mayLeave(StreamLeg leg) {
-        if (hasStandingCopy(leg.flight()) || mover.hasCopy()) {
+    boolean prepareToLeave(StreamSegment segment) {
+        if (hasUsableBackup(segment.inFlight()) || migration.hasCopy()) {
             return true;
         }
-        if (leg.flight().isLong()) {
-            mover.begin(leg);
+        if (segment.inFlight().isLong()) {
+            migration.start(segment);
         }
         return false;
     }
 
     /** Tells whether another engine keeps a copy that the generation could go on from at once. */
-    boolean hasStandingCopy(Flight flight) {
-        TargetRow backup = flight.backup();
+    boolean hasUsableBackup(InFlightRequest inFlight) {
+        TargetState backup = inFlight.backup();
         return backup != null
-                && backup != refused
-                && !parts.directory().isLeaving(backup)
-                && !backup.isSuspended(parts.timer().nanos());
+                && backup != refusedBackup
+                && !components.directory().isLeaving(backup)
+                && !backup.isSuspended(components.timer().nanos());
     }
 
     /** Goes on elsewhere while the engine that leaves still runs the generation; empty if that is not possible. */
-    Optional<StreamLeg> leave(StreamLeg leg) {
-        if (!hasStandingCopy(leg.flight())) {
-            return fromMover(leg);
+    Optional<StreamSegment> continueFromLeaving(StreamSegment segment) {
+        if (!hasUsableBackup(segment.inFlight())) {
+            return continueFromMigration(segment);
         }
-        TargetRow backup = leg.flight().backup();
-        Optional<StreamLeg> next = fromStandingCopy(backup);
+        TargetState backup = segment.inFlight().backup();
+        Optional<StreamSegment> next = continueFromBackup(backup);
         if (next.isEmpty()) {
-            refused = backup;
+            refusedBackup = backup;
         }
         return next;
     }
 
     /** Goes on after the exchange with the engine broke off; empty if there is no copy. */
-    Optional<StreamLeg> recover(StreamLeg leg) {
-        breaks += parts.directory().isLeaving(leg.row()) ? 0 : 1;
-        if (breaks >= MAX_BREAKS) {
+    Optional<StreamSegment> recover(StreamSegment segment) {
+        losses += components.directory().isLeaving(segment.targetState()) ? 0 : 1;
+        if (losses >= MAX_LOSSES) {
             return Optional.empty();
         }
-        Optional<StreamLeg> next = mover.hasCopy() ? fromMover(leg) : Optional.empty();
-        return next.isPresent() ? next : recover(leg.flight());
+        Optional<StreamSegment> next = migration.hasCopy() ? continueFromMigration(segment) : Optional.empty();
+        return next.isPresent() ? next : recover(segment.inFlight());
     }
 
     /** Goes on after the engine was lost, perhaps before it began. */
-    Optional<StreamLeg> recover(Flight lost) {
-        TargetRow backup = lost.backup();
-        return backup == null || backup == refused ? Optional.empty() : fromStandingCopy(backup);
+    Optional<StreamSegment> recover(InFlightRequest lost) {
+        TargetState backup = lost.backup();
+        return backup == null || backup == refusedBackup ? Optional.empty() : continueFromBackup(backup);
     }
 
-    private Optional<StreamLeg> fromMover(StreamLeg leg) {
-        Optional<StreamLeg> next =
-                goOn(mover.destination(), mover.copy(), leg.row().target().address());
-        mover.reset();
+    private Optional<StreamSegment> continueFromMigration(StreamSegment segment) {
+        Optional<StreamSegment> next = continueAt(
+                migration.destination(),
+                migration.copyId(),
+                segment.targetState().target().address());
+        migration.reset();
         return next;
     }
 
-    private Optional<StreamLeg> fromStandingCopy(TargetRow backup) {
-        return goOn(backup, r.id(), backup.target().address());
+    private Optional<StreamSegment> continueFromBackup(TargetState backup) {
+        return continueAt(backup, request.id(), backup.target().address());
     }
 
     /**
      * Sends the request to the engine that holds a copy of the generation.
      *
-     * @param row the engine, or {@code null} if there is none
+     * @param state the engine, or {@code null} if there is none
      * @param copy id of the copy
-     * @param keeper engine that the id refers to
+     * @param holder engine that the id refers to
      */
-    private Optional<StreamLeg> goOn(TargetRow row, String copy, Address keeper) {
-        if (row == null || count >= MAX_CONTINUATIONS || caller.isGone()) {
+    private Optional<StreamSegment> continueAt(TargetState state, String copyId, Address holder) {
+        if (state == null || count >= MAX_CONTINUATIONS || caller.isGone()) {
             return Optional.empty();
         }
         count++;
-        Flight flight = sender.book(row);
+        InFlightRequest inFlight = sender.reserve(state);
         try {
-            var continuation = new TargetOrder.Continuation(keeper, copy, events.lastId());
-            Attempt attempt = sender.send(flight, Urgency.CONTINUED, Optional.of(continuation), CONTINUE_TIMEOUT);
+            var continuation = new TargetOrder.Continuation(holder, copyId, events.lastId());
+            Attempt attempt = sender.send(inFlight, Urgency.CONTINUED, Optional.of(continuation), CONTINUE_TIMEOUT);
             AnswerHead head = attempt.head();
-            if (head.notRun() || !head.isSuccess() || head.isForeign(r.id())) {
-                attempt.drop();
-                flight.end();
-                attempt.logNotRun(r);
+            if (head.notRun() || !head.isSuccess() || head.isUntrusted(request.id())) {
+                attempt.cancel();
+                inFlight.end();
+                attempt.logNotRun(request);
                 return Optional.empty();
             }
-            parts.metrics().count("continued");
+            components.metrics().countDecision("continued");
             LogEvent.of("stream.continued")
-                    .request(r.id())
-                    .with("target", row.target().id())
+                    .request(request.id())
+                    .with("target", state.target().id())
                     .with("lastEvent", events.lastId().orElse(""))
                     .info(LOG);
-            events.dropRest();
-            refused = null;
-            return Optional.of(new StreamLeg(flight, attempt));
+            events.discardIncompleteEvent();
+            refusedBackup = null;
+            return Optional.of(new StreamSegment(inFlight, attempt));
         } catch (StepException e) {
-            Attempt.logFailure(r, row, e);
-            flight.end();
+            Attempt.logFailure(request, state, e);
+            inFlight.end();
             return Optional.empty();
         }
     }
--- /dev/null
+++ b/forward/src/main/java/org/verbenatally/forward/StreamMigration.java
@@ -0,0 +1,184 @@
+package org.verbenatally.forward;
+
+import java.time.Duration;
+import java.util.HashSet;
+import java.util.Objects;
+import java.util.Optional;
+import java.util.Set;
+
+import io.vertx.core.Context;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClientRequest;
+import io.vertx.core.http.HttpClientResponse;
+import org.jboss.logging.Logger;
+import org.verbenatally.core.LogEvent;
+import org.verbenatally.core.Outcome;
+import org.verbenatally.core.Step;
+import org.verbenatally.core.StepException;
+import org.verbenatally.core.TargetId;
+import org.verbenatally.time.TimedAwait;
+
+/**
+ * Copies a generation from an engine that is about to leave to another one while it runs, for generations of which no
+ * copy is kept. All methods must be called on the context of the request.
+ */
+final class StreamMigration {
+    private static final Logger LOG = Logger.getLogger(StreamMigration.class);
+    /** A leaving engine copies one generation after another, a few tenths of a second each. */
+    private static final Duration COPY_TIMEOUT = Duration.ofSeconds(3);
+
+    /** Room comes with the end of another generation; an engine about to leave has a second or two. */
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(100);
+
+    private static final int MAX_RESPONSE_BYTES = 65_536;
+
+    private final ForwardComponents components;
+    private final ForwardedRequest request;
+    private final Generation generation;
+    private final Context context;
+    private TargetState destination;
+    private String copyId;
+    private boolean copying;
+    private final Set<TargetId> refusedBy = new HashSet<>();
+    private Runnable reservation;
+
+    StreamMigration(ForwardComponents components, ForwardedRequest request, Generation generation, Context context) {
+        this.components = Objects.requireNonNull(components, "components");
+        this.request = Objects.requireNonNull(request, "request");
+        this.generation = Objects.requireNonNull(generation, "generation");
+        this.context = Objects.requireNonNull(context, "context");
+    }
+
+    /** Forgets the copy, which can be used once. */
+    void reset() {
+        destination = null;
+        copyId = null;
+        endReservation();
+    }
+
+    private void endReservation() {
+        if (reservation != null) {
+            reservation.run();
+            reservation = null;
+        }
+    }
+
+    /** Tells whether a copy exists; it lacks only the tokens made since. */
+    boolean hasCopy() {
+        return copyId != null;
+    }
+
+    /** Returns the engine that holds the copy. */
+    TargetState destination() {
+        return destination;
+    }
+
+    /** Returns the id of the copy. */
+    String copyId() {
+        return copyId;
+    }
+
+    /** Starts to copy while the generation runs, unless that has begun; the leg is signalled when it is done. */
+    void start(StreamSegment segment) {
+        boolean copySupported = request.service()
+                .engine()
+                .filter(ServiceSpec.EngineTraits::copies)
+                .isPresent();
+        if (!copying && copyId == null && copySupported) {
+            copying = true;
+            context.runOnContext(v -> {
+                try {
+                    copyWhileRunning(segment);
+                } finally {
+                    copying = false;
+                }
+            });
+        }
+    }
+
+    private void copyWhileRunning(StreamSegment segment) {
+        Optional<TargetState> chosen = chooseDestination(segment.targetState());
+        if (chosen.isEmpty()) {
+            LogEvent.of("stream.noDestination").request(request.id()).info(LOG);
+            refusedBy.clear();
+            TimedAwait.pause(context.owner(), RETRY_PAUSE);
+            segment.reader().signal();
+            return;
+        }
+        TargetState holder = chosen.get();
+        holder.reserveCopy(segment.inFlight());
+        reservation = () -> holder.releaseCopy(segment.inFlight());
+        Optional<String> copied = requestCopy(segment, holder);
+        if (copied.isPresent() && !segment.inFlight().hasEnded()) {
+            destination = holder;
+            copyId = copied.get();
+        } else {
+            refusedBy.add(holder.target().id());
+            endReservation();
+        }
+        segment.reader().signal();
+    }
+
+    /** Engines know best whether they have room, so one that seems full is asked as well if no other is left. */
+    private Optional<TargetState> chooseDestination(TargetState source) {
+        return chooseCopyHolder(source, TargetChooser.PLANNED_MEMORY_SHARE)
+                .or(() -> chooseCopyHolder(source, TargetChooser.FULL_MEMORY_SHARE))
+                .or(() -> chooseCopyHolder(source, TargetChooser.OVERFULL_MEMORY_SHARE));
+    }
+
+    private Optional<TargetState> chooseCopyHolder(TargetState source, double share) {
+        return components.chooser().chooseCopyHolder(request.service(), generation, source, share, refusedBy);
+    }
+
+    private Optional<String> requestCopy(StreamSegment segment, TargetState holder) {
+        CopyCall call = components.codec().copy(request.id(), holder.target().address());
+        LogEvent event = LogEvent.of("stream.copied")
+                .request(request.id())
+                .with("from", segment.targetState().target().id())
+                .with("target", holder.target().id());
+        long start = components.timer().nanos();
+        try {
+            HttpClientRequest clientRequest = components
+                    .client()
+                    .connect(
+                            request.service(),
+                            segment.targetState().target().address(),
+                            call.method(),
+                            call.uri(),
+                            COPY_TIMEOUT);
+            HttpClientResponse response =
+                    components.client().send(clientRequest, call.body(), COPY_TIMEOUT, reset -> {});
+            Optional<String> copied =
+                    components.codec().readCopy(response.statusCode(), readBody(clientRequest, response));
+            event.with("status", response.statusCode())
+                    .with(
+                            "ms",
+                            Duration.ofNanos(components.timer().nanos() - start).toMillis())
+                    .info(LOG);
+            return copied;
+        } catch (StepException e) {
+            event.with("step", e.step()).with("reason", e.getMessage()).info(LOG);
+            return Optional.empty();
+        }
+    }
+
+    private Buffer readBody(HttpClientRequest clientRequest, HttpClientResponse response) {
+        Buffer body = Buffer.buffer();
+        ResponseBodyReader reader = new ResponseBodyReader(response);
+        long deadline = components.timer().nanos() + COPY_TIMEOUT.toNanos();
+        while (true) {
+            // One bound for the whole answer: a byte now and then must not hold the generation here.
+            ResponseBodyReader.Item item =
+                    reader.next(Duration.ofNanos(deadline - components.timer().nanos()));
+            if (item instanceof ResponseBodyReader.Piece chunk && body.length() < MAX_RESPONSE_BYTES) {
+                body.appendBuffer(chunk.bytes());
+            } else if (item instanceof ResponseBodyReader.End) {
+                return body;
+            } else {
+                clientRequest.reset();
+                throw new StepException(
+                        Step.RESUME, request.id(), Outcome.UNKNOWN, "answer to the copy broke off: " + item);
+            }
+        }
+    }
+}
--- a/forward/src/main/java/org/verbenatally/forward/StreamRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamRun.java
@@ -23,69 +23,75 @@
     private static final Logger LOG = Logger.getLogger(StreamRun.class);
 
     /** A stream without an event for this many gap targets goes on elsewhere: its engine is dead or far too full. */
-    private static final int SILENT_GAPS = 5;
+    private static final int SILENCE_TIMEOUT_GAPS = 5;
 
-    private static final Duration LEAST_TIME = Duration.ofMillis(20);
+    private static final Duration MIN_REMAINING = Duration.ofMillis(20);
     /** Gap target of routes that state none. */
-    private static final Duration DEFAULT_GAP = Duration.ofMillis(500);
+    private static final Duration DEFAULT_GAP_TARGET = Duration.ofMillis(500);
 
-    private final ForwardParts parts;
-    private final ForwardedRequest r;
+    private final ForwardComponents components;
+    private final ForwardedRequest request;
     private final Generation generation;
     private final CallerExchange caller;
     private final Context context;
     private final EngineAdmission admission;
-    private final StreamMover mover;
+    private final StreamMigration migration;
     private final StreamSender sender;
     private final StreamContinuation continuation;
     private final Set<TargetId> tried = new HashSet<>();
     private final EventSplitter events = new EventSplitter();
     private Urgency urgency = Urgency.NORMAL;
     private int sends;
-    private long piecesPassed;
-    private long firstPieceNanos;
-    private long lastPieceNanos;
+    private long chunksForwarded;
+    private long firstChunkNanos;
+    private long lastChunkNanos;
     /** When the engine began, or sent its last whole event. */
-    private long progressNanos;
+    private long lastProgressNanos;
 
     private long longestGapNanos;
-    private StreamLeg leg;
+    private StreamSegment segment;
 
     private enum End {
-        WHOLE,
+        COMPLETE,
         BROKEN,
         LEAVING,
         CALLER_LEFT,
         DEADLINE
     }
 
-    StreamRun(ForwardParts parts, ForwardedRequest r, Generation generation, CallerExchange caller, Context context) {
-        this.parts = Objects.requireNonNull(parts, "parts");
-        this.r = Objects.requireNonNull(r, "r");
+    StreamRun(
+            ForwardComponents components,
+            ForwardedRequest request,
+            Generation generation,
+            CallerExchange caller,
+            Context context) {
+        this.components = Objects.requireNonNull(components, "components");
+        this.request = Objects.requireNonNull(request, "request");
         this.generation = Objects.requireNonNull(generation, "generation");
         this.caller = Objects.requireNonNull(caller, "caller");
         this.context = Objects.requireNonNull(context, "context");
-        this.admission = new EngineAdmission(parts);
-        this.mover = new StreamMover(parts, r, generation, context);
-        this.sender = new StreamSender(parts, r, generation, caller, () -> context.runOnContext(v -> wake()));
-        this.continuation = new StreamContinuation(parts, r, caller, events, sender, mover);
+        this.admission = new EngineAdmission(components);
+        this.migration = new StreamMigration(components, request, generation, context);
+        this.sender = new StreamSender(
+                components, request, generation, caller, () -> context.runOnContext(v -> signalReader()));
+        this.continuation = new StreamContinuation(components, request, caller, events, sender, migration);
     }
 
     /** Runs the generation to its end and returns its outcome, for logs and metrics. */
     String run() {
-        long start = parts.timer().nanos();
+        long start = components.timer().nanos();
         String outcome;
         try {
-            outcome = serve();
+            outcome = admitAndForward();
         } finally {
-            if (leg != null) {
-                leg.close(false);
+            if (segment != null) {
+                segment.close(false);
             }
-            mover.reset();
+            migration.reset();
         }
         LogEvent.of("stream.ended")
-                .request(r.id())
-                .with("firstMs", piecesPassed == 0 ? -1 : TimeUnit.NANOSECONDS.toMillis(firstPieceNanos - start))
+                .request(request.id())
+                .with("firstMs", chunksForwarded == 0 ? -1 : TimeUnit.NANOSECONDS.toMillis(firstChunkNanos - start))
                 .with("longestGapMs", TimeUnit.NANOSECONDS.toMillis(longestGapNanos))
                 .with("events", events.count())
                 .with("continuations", continuation.count())
@@ -93,23 +99,23 @@
         return outcome;
     }
 
-    private String serve() {
+    private String admitAndForward() {
         while (!caller.isGone()) {
-            if (r.left(parts.timer().nanos()).compareTo(LEAST_TIME) < 0) {
+            if (request.remaining(components.timer().nanos()).compareTo(MIN_REMAINING) < 0) {
                 return refuse("deadline");
             }
-            Optional<EngineAdmission.Admitted> admitted = admission.await(r, generation, caller, tried);
+            Optional<EngineAdmission.Admitted> admitted = admission.await(request, generation, caller, tried);
             if (caller.isGone()) {
                 return "caller left";
             }
             if (admitted.isEmpty()) {
                 return refuse("no engine with room");
             }
-            if (!parts.repeats().maySend(r.service().name(), sends)) {
+            if (!components.retryAllowance().tryAcquire(request.service().name(), sends)) {
                 return refuse("no repeat allowed");
             }
             urgency = admitted.get().urgency();
-            Optional<String> outcome = start(admitted.get().row());
+            Optional<String> outcome = sendTo(admitted.get().targetState());
             if (outcome.isPresent()) {
                 return outcome.get();
             }
@@ -119,41 +125,44 @@
 
     private String refuse(String reason) {
         LogEvent.of("request.unserved")
-                .request(r.id())
+                .request(request.id())
                 .with("reason", reason)
                 .with("sends", sends)
                 .info(LOG);
         caller.refuse(
                 CallerExchange.UNAVAILABLE,
-                EngineAdmission.comeBackAfter(r.left(parts.timer().nanos())));
+                EngineAdmission.retryAfter(request.remaining(components.timer().nanos())));
         return "refused: " + reason;
     }
 
     /** Sends the request to an engine; returns the outcome unless the engine has not run it. */
-    private Optional<String> start(TargetRow row) {
-        tried.add(row.target().id());
-        Flight flight = sender.book(row);
+    private Optional<String> sendTo(TargetState state) {
+        tried.add(state.target().id());
+        InFlightRequest inFlight = sender.reserve(state);
         try {
             sends++;
             Attempt attempt = sender.send(
-                    flight, urgency, Optional.empty(), r.left(parts.timer().nanos()));
+                    inFlight,
+                    urgency,
+                    Optional.empty(),
+                    request.remaining(components.timer().nanos()));
             // A refusal of another request says nothing of this one, which may be at work.
-            if (attempt.head().isForeign(r.id())) {
-                attempt.drop();
-                flight.end();
+            if (attempt.head().isUntrusted(request.id())) {
+                attempt.cancel();
+                inFlight.end();
                 return Optional.of(fail("answer belongs to another request"));
             }
             if (attempt.head().notRun()) {
-                attempt.drop();
-                flight.end();
-                row.answered(true, parts.timer().nanos());
-                attempt.logNotRun(r);
+                attempt.cancel();
+                inFlight.end();
+                state.recordOutcome(true, components.timer().nanos());
+                attempt.logNotRun(request);
                 return Optional.empty();
             }
-            goOn(new StreamLeg(flight, attempt));
+            continueWith(new StreamSegment(inFlight, attempt));
         } catch (StepException e) {
-            Attempt.logFailure(r, row, e);
-            flight.end();
+            Attempt.logFailure(request, state, e);
+            inFlight.end();
             if (e.outcome() == Outcome.NOT_RUN) {
                 sends--;
                 return Optional.empty();
@@ -161,59 +170,61 @@
             if (caller.isGone()) {
                 return Optional.of("caller left");
             }
-            Optional<StreamLeg> next = continuation.recover(flight);
+            Optional<StreamSegment> next = continuation.recover(inFlight);
             if (next.isEmpty()) {
                 return Optional.of(fail("engine lost"));
             }
-            goOn(next.get());
+            continueWith(next.get());
         }
-        caller.begin(leg.attempt().response());
-        return Optional.of(deliver());
+        caller.startChunked(segment.attempt().response());
+        return Optional.of(forwardSegments());
     }
 
-    private void wake() {
-        if (leg != null) {
-            leg.feed().signal();
+    private void signalReader() {
+        if (segment != null) {
+            segment.reader().signal();
         }
     }
 
     /** Passes on the events of one engine after the other until the generation ends. */
-    private String deliver() {
+    private String forwardSegments() {
         while (true) {
-            End end = relay();
+            End end = forwardSegment();
             switch (end) {
-                case WHOLE -> {
-                    AnswerHead head = leg.attempt().head();
-                    leg.row().answered(head.isServerError(), parts.timer().nanos());
-                    parts.crashes().answered(r);
-                    leg.close(true);
-                    leg = null;
+                case COMPLETE -> {
+                    AnswerHead head = segment.attempt().head();
+                    segment.targetState()
+                            .recordOutcome(
+                                    head.isServerError(), components.timer().nanos());
+                    components.crashDetector().onResponse(request);
+                    segment.close(true);
+                    segment = null;
                     caller.end();
                     return head.isSuccess() ? "served" : "target failed";
                 }
                 case CALLER_LEFT -> {
-                    leg.close(false);
+                    segment.close(false);
                     return "caller left";
                 }
                 case DEADLINE -> {
-                    leg.close(false);
+                    segment.close(false);
                     return fail("deadline");
                 }
                 case LEAVING ->
-                    continuation.leave(leg).ifPresent(next -> {
-                        leg.close(false);
-                        goOn(next);
+                    continuation.continueFromLeaving(segment).ifPresent(next -> {
+                        segment.close(false);
+                        continueWith(next);
                     });
                 case BROKEN -> {
-                    leg.row().unreachable(parts.timer().nanos());
-                    parts.crashes().connectionBroke(leg.row());
-                    leg.close(false);
-                    Optional<StreamLeg> next =
-                            leg.attempt().head().isSuccess() ? continuation.recover(leg) : Optional.empty();
+                    segment.targetState().onUnreachable(components.timer().nanos());
+                    components.crashDetector().onConnectionLost(segment.targetState());
+                    segment.close(false);
+                    Optional<StreamSegment> next =
+                            segment.attempt().head().isSuccess() ? continuation.recover(segment) : Optional.empty();
                     if (next.isEmpty()) {
                         return fail("engine lost");
                     }
-                    goOn(next.get());
+                    continueWith(next.get());
                 }
                 default -> throw new IllegalStateException("unexpected end " + end);
             }
@@ -221,101 +232,105 @@
     }
 
     /** Goes on with the answer of another engine. */
-    private void goOn(StreamLeg next) {
-        leg = next;
-        progressNanos = parts.timer().nanos();
+    private void continueWith(StreamSegment next) {
+        segment = next;
+        lastProgressNanos = components.timer().nanos();
     }
 
-    private End relay() {
-        Duration gap = r.route().gapTarget().orElse(DEFAULT_GAP);
-        long silence = gap.multipliedBy(SILENT_GAPS).toNanos();
+    private End forwardSegment() {
+        Duration gapTarget = request.route().gapTarget().orElse(DEFAULT_GAP_TARGET);
+        long silenceTimeout = gapTarget.multipliedBy(SILENCE_TIMEOUT_GAPS).toNanos();
         while (true) {
             if (caller.isGone()) {
                 return End.CALLER_LEFT;
             }
-            if (parts.directory().isLeaving(leg.row()) && continuation.mayLeave(leg)) {
+            if (components.directory().isLeaving(segment.targetState()) && continuation.prepareToLeave(segment)) {
                 return End.LEAVING;
             }
-            Duration left = r.left(parts.timer().nanos());
-            if (left.isNegative()) {
+            Duration remaining = request.remaining(components.timer().nanos());
+            if (remaining.isNegative()) {
                 return End.DEADLINE;
             }
-            boolean watched = piecesPassed > 0 && continuation.hasStandingCopy(leg.flight());
-            Duration quiet =
-                    Duration.ofNanos(Math.max(0, silence - (parts.timer().nanos() - progressNanos)));
-            AnswerFeed.Item item = leg.feed().next(watched && quiet.compareTo(left) < 0 ? quiet : left);
+            boolean monitored = chunksForwarded > 0 && continuation.hasUsableBackup(segment.inFlight());
+            Duration untilSilent = Duration.ofNanos(
+                    Math.max(0, silenceTimeout - (components.timer().nanos() - lastProgressNanos)));
+            ResponseBodyReader.Item item =
+                    segment.reader().next(monitored && untilSilent.compareTo(remaining) < 0 ? untilSilent : remaining);
             switch (item) {
-                case AnswerFeed.Piece piece -> {
+                case ResponseBodyReader.Piece chunk -> {
                     try {
-                        pass(piece.bytes());
-                    } catch (EventSplitter.EndlessEventException e) {
-                        logBreak(e.getMessage());
+                        forward(chunk.bytes());
+                    } catch (EventSplitter.EventTooLongException e) {
+                        logBroken(e.getMessage());
                         return End.BROKEN;
                     }
                 }
-                case AnswerFeed.End e -> {
-                    if (!events.hasRest()
-                            && !parts.client().isDoubtful(leg.attempt().response())) {
-                        return End.WHOLE;
+                case ResponseBodyReader.End e -> {
+                    if (!events.hasIncompleteEvent()
+                            && !components
+                                    .client()
+                                    .isPossiblyIncomplete(segment.attempt().response())) {
+                        return End.COMPLETE;
                     }
-                    logBreak("ended within an event");
+                    logBroken("ended within an event");
                     return End.BROKEN;
                 }
-                case AnswerFeed.Broken b -> {
+                case ResponseBodyReader.Broken broken -> {
                     if (caller.isGone()) {
                         return End.CALLER_LEFT;
                     }
-                    logBreak(b.reason());
+                    logBroken(broken.reason());
                     return End.BROKEN;
                 }
-                case AnswerFeed.Silent s -> LOG.debugf("stream: %s is silent", r.id());
-                case AnswerFeed.Signal s -> LOG.debugf("stream: %s was signalled", r.id());
+                case ResponseBodyReader.Silent s -> LOG.debugf("stream: %s is silent", request.id());
+                case ResponseBodyReader.Signal s -> LOG.debugf("stream: %s was signalled", request.id());
             }
             // Bytes that make no whole event do not show that the engine is at work.
-            if (watched && parts.timer().nanos() - progressNanos >= silence) {
-                logBreak("silent");
+            if (monitored && components.timer().nanos() - lastProgressNanos >= silenceTimeout) {
+                logBroken("silent");
                 return End.BROKEN;
             }
         }
     }
 
-    private void logBreak(String reason) {
+    private void logBroken(String reason) {
         LogEvent.of("stream.broken")
-                .request(r.id())
-                .with("target", leg.row().target().id())
+                .request(request.id())
+                .with("target", segment.targetState().target().id())
                 .with("reason", reason)
-                .with("pieces", piecesPassed)
+                .with("pieces", chunksForwarded)
                 .info(LOG);
     }
 
-    private void pass(Buffer bytes) throws EventSplitter.EndlessEventException {
-        Buffer whole = events.take(bytes);
-        if (whole.length() > 0) {
-            long now = parts.timer().nanos();
-            longestGapNanos = piecesPassed == 0 ? 0 : Math.max(longestGapNanos, now - lastPieceNanos);
-            firstPieceNanos = piecesPassed == 0 ? now : firstPieceNanos;
-            lastPieceNanos = now;
-            piecesPassed++;
-            leg.flight()
-                    .made(events.count() * r.service().engine().orElseThrow().tokensPerEvent());
-            caller.write(whole);
+    private void forward(Buffer bytes) throws EventSplitter.EventTooLongException {
+        Buffer complete = events.append(bytes);
+        if (complete.length() > 0) {
+            long now = components.timer().nanos();
+            longestGapNanos = chunksForwarded == 0 ? 0 : Math.max(longestGapNanos, now - lastChunkNanos);
+            firstChunkNanos = chunksForwarded == 0 ? now : firstChunkNanos;
+            lastChunkNanos = now;
+            chunksForwarded++;
+            segment.inFlight()
+                    .setGenerated(events.count()
+                            * request.service().engine().orElseThrow().tokensPerEvent());
+            caller.write(complete);
             // Time that a slow caller took is not the engine's.
-            progressNanos = parts.timer().nanos();
+            lastProgressNanos = components.timer().nanos();
         }
     }
 
     /** Ends a generation that cannot go on; what the caller has got must not look whole. */
     private String fail(String reason) {
         LogEvent.of("request.unserved")
-                .request(r.id())
+                .request(request.id())
                 .with("reason", reason)
                 .with("sends", sends)
-                .with("pieces", piecesPassed)
+                .with("pieces", chunksForwarded)
                 .info(LOG);
-        if (caller.hasBegun()) {
+        if (caller.isStarted()) {
             caller.abort();
         } else {
-            caller.answer("deadline".equals(reason) ? CallerExchange.GATEWAY_TIMEOUT : CallerExchange.BAD_GATEWAY);
+            caller.respond("deadline".equals(reason) ? CallerExchange.GATEWAY_TIMEOUT : CallerExchange.BAD_GATEWAY);
         }
         return "failed: " + reason;
     }
--- a/forward/src/main/java/org/verbenatally/forward/StreamSender.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamSender.java
@@ -7,8 +7,8 @@
 
 /** Books and sends one generation, to its first engine and to those that it goes on at. */
 final class StreamSender {
-    private final ForwardParts parts;
-    private final ForwardedRequest r;
+    private final ForwardComponents components;
+    private final ForwardedRequest request;
     private final Generation generation;
     private final CallerExchange caller;
     private final Runnable onLeaving;
@@ -19,24 +19,33 @@
      * @param onLeaving told when an engine that was booked is known to leave
      */
     StreamSender(
-            ForwardParts parts, ForwardedRequest r, Generation generation, CallerExchange caller, Runnable onLeaving) {
-        this.parts = Objects.requireNonNull(parts, "parts");
-        this.r = Objects.requireNonNull(r, "r");
+            ForwardComponents components,
+            ForwardedRequest request,
+            Generation generation,
+            CallerExchange caller,
+            Runnable onLeaving) {
+        this.components = Objects.requireNonNull(components, "components");
+        this.request = Objects.requireNonNull(request, "request");
         this.generation = Objects.requireNonNull(generation, "generation");
         this.caller = Objects.requireNonNull(caller, "caller");
         this.onLeaving = Objects.requireNonNull(onLeaving, "onLeaving");
     }
 
     /** Books the generation at an engine, with a standing copy at another one while memory is ample. */
-    Flight book(TargetRow row) {
-        boolean copied =
-                r.service().engine().filter(ServiceSpec.EngineTraits::backups).isPresent() && generation.isLong();
-        TargetRow backup = copied
-                ? parts.chooser()
-                        .copyHolder(r.service(), generation, row, TargetChooser.STANDING_COPIES, Set.of())
+    InFlightRequest reserve(TargetState state) {
+        boolean keepsBackup = request.service()
+                        .engine()
+                        .filter(ServiceSpec.EngineTraits::backups)
+                        .isPresent()
+                && generation.isLong();
+        TargetState backup = keepsBackup
+                ? components
+                        .chooser()
+                        .chooseCopyHolder(
+                                request.service(), generation, state, TargetChooser.BACKUP_MEMORY_SHARE, Set.of())
                         .orElse(null)
                 : null;
-        return new Flight(r.id(), r.fingerprint(), row, backup, generation, onLeaving);
+        return new InFlightRequest(request.id(), request.fingerprint(), state, backup, generation, onLeaving);
     }
 
     /**
@@ -46,14 +55,18 @@
      * @param limit longest wait for the head of the answer
      * @throws org.verbenatally.core.StepException as {@link Attempt#start}
      */
-    Attempt send(Flight flight, Urgency urgency, Optional<TargetOrder.Continuation> continuation, Duration limit) {
+    Attempt send(
+            InFlightRequest inFlight,
+            Urgency urgency,
+            Optional<TargetOrder.Continuation> continuation,
+            Duration limit) {
         var order = new TargetOrder(
-                flight.row().target().id(),
-                r.left(parts.timer().nanos()),
+                inFlight.targetState().target().id(),
+                request.remaining(components.timer().nanos()),
                 urgency,
-                r.organisation(),
-                Optional.ofNullable(flight.backup()).map(b -> b.target().address()),
+                request.organisation(),
+                Optional.ofNullable(inFlight.backup()).map(b -> b.target().address()),
                 continuation);
-        return Attempt.start(parts, r, caller, flight.row(), order, limit);
+        return Attempt.start(components, request, caller, inFlight.targetState(), order, limit);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/TargetClient.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetClient.java
@@ -41,15 +41,15 @@
     private static final int KEEP_ALIVE_SECONDS = 2;
 
     /** The failure of a connection is handed over within this time of its end. */
-    private static final Duration FAILURE_REPORT = Duration.ofMillis(5);
+    private static final Duration FAILURE_REPORT_DELAY = Duration.ofMillis(5);
 
     private static final int MAX_HEADER_BYTES = 16_384;
-    private static final int LEAST_CONNECTIONS = 8;
+    private static final int MIN_CONNECTIONS = 8;
 
     private final Vertx vertx;
     private final IntSupplier members;
     /** Connections that failed; kept only as long as somebody may ask. */
-    private final Set<HttpConnection> failed =
+    private final Set<HttpConnection> failedConnections =
             Collections.newSetFromMap(Collections.synchronizedMap(new WeakHashMap<>()));
 
     private final Map<ServiceName, HttpClient> clients = new ConcurrentHashMap<>();
@@ -70,8 +70,9 @@
                             .setKeepAliveTimeout(KEEP_ALIVE_SECONDS)
                             .setDecompressionSupported(false)
                             .setTcpNoDelay(true))
-                    .with(new PoolOptions().setHttp1MaxSize(Math.max(LEAST_CONNECTIONS, share)))
-                    .withConnectHandler(connection -> connection.exceptionHandler(e -> failed.add(connection)))
+                    .with(new PoolOptions().setHttp1MaxSize(Math.max(MIN_CONNECTIONS, share)))
+                    .withConnectHandler(
+                            connection -> connection.exceptionHandler(e -> failedConnections.add(connection)))
                     .build();
         });
     }
@@ -112,14 +113,14 @@
      * @throws StepException with outcome {@code UNKNOWN} if no head arrives in time
      */
     HttpClientResponse send(HttpClientRequest request, Buffer body, Duration limit, Consumer<Runnable> onSent) {
-        Future<HttpClientResponse> answer = (body.length() == 0 && !mayHaveBody(request)
+        Future<HttpClientResponse> responseFuture = (body.length() == 0 && !methodAllowsBody(request)
                         ? request.send()
                         : request.send(body))
                 .onSuccess(response -> response.exceptionHandler(e -> {}).pause());
         onSent.accept(request::reset);
         String peer = String.valueOf(request.connection().remoteAddress());
         try {
-            return TimedAwait.await(answer, limit);
+            return TimedAwait.await(responseFuture, limit);
         } catch (TimeoutException e) {
             request.reset();
             String message = "no answer within " + limit.toMillis() + " ms";
@@ -130,7 +131,7 @@
         }
     }
 
-    private static boolean mayHaveBody(HttpClientRequest request) {
+    private static boolean methodAllowsBody(HttpClientRequest request) {
         HttpMethod method = request.getMethod();
         return method.equals(HttpMethod.POST) || method.equals(HttpMethod.PUT) || method.equals(HttpMethod.PATCH);
     }
@@ -139,12 +140,12 @@
      * Tells whether an answer that ended with its connection may lack something. A body without a length ends in the
      * same way when its connection is reset; the failure is reported on its own, at about the same time.
      */
-    boolean isDoubtful(HttpClientResponse answer) {
-        MultiMap headers = answer.headers();
+    boolean isPossiblyIncomplete(HttpClientResponse response) {
+        MultiMap headers = response.headers();
         if (headers.contains(HttpHeaders.CONTENT_LENGTH) || headers.contains(HttpHeaders.TRANSFER_ENCODING)) {
             return false;
         }
-        TimedAwait.pause(vertx, FAILURE_REPORT);
-        return failed.contains(answer.request().connection());
+        TimedAwait.pause(vertx, FAILURE_REPORT_DELAY);
+        return failedConnections.contains(response.request().connection());
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
@@ -33,22 +33,22 @@
     /** Entries that lapsed while the list could not be read are written again within this time of its return. */
     private static final Duration RETURN_GRACE = Duration.ofSeconds(2);
     /** A target that has left is kept this long for requests that still run there and for slower peers. */
-    private static final Duration MEMORY = Duration.ofSeconds(30);
+    private static final Duration RETENTION = Duration.ofSeconds(30);
 
     private final TimerService timer;
     private final Consumer<List<PublishedTarget>> onRead;
-    private final Runnable onOwnLoad;
+    private final Runnable onOwnLoadChange;
     private final List<Runnable> listeners = new CopyOnWriteArrayList<>();
-    private final Map<TargetId, TargetRow> rows = new HashMap<>();
+    private final Map<TargetId, TargetState> states = new HashMap<>();
     private final Map<TargetId, Long> leavingSince = new HashMap<>();
-    private final Map<InstanceId, Map<TargetId, TargetRow.PeerLoad>> peerLoads = new HashMap<>();
+    private final Map<InstanceId, Map<TargetId, TargetState.PeerLoad>> peerLoads = new HashMap<>();
     /** Targets that this instance has read since the list became reachable. */
-    private final Set<TargetId> seenHere = new HashSet<>();
+    private final Set<TargetId> readHere = new HashSet<>();
     /** Targets that may get new work, by service; replaced whenever the list changes. */
-    private volatile Map<ServiceName, List<TargetRow>> candidates = Map.of();
+    private volatile Map<ServiceName, List<TargetState>> candidates = Map.of();
 
     private boolean reachable;
-    private long returned;
+    private long reachableSince;
     private boolean known;
     private long knownAsOf;
 
@@ -57,12 +57,12 @@
      *
      * @param timer clock
      * @param onRead given what this instance has read, to be passed on
-     * @param onOwnLoad told whenever the load of this instance at an engine changes
+     * @param onOwnLoadChange told whenever the load of this instance at an engine changes
      */
-    public TargetDirectory(TimerService timer, Consumer<List<PublishedTarget>> onRead, Runnable onOwnLoad) {
+    public TargetDirectory(TimerService timer, Consumer<List<PublishedTarget>> onRead, Runnable onOwnLoadChange) {
         this.timer = Objects.requireNonNull(timer, "timer");
         this.onRead = Objects.requireNonNull(onRead, "onRead");
-        this.onOwnLoad = Objects.requireNonNull(onOwnLoad, "onOwnLoad");
+        this.onOwnLoadChange = Objects.requireNonNull(onOwnLoadChange, "onOwnLoadChange");
     }
 
     /** Calls the listener after each change of the targets or of the load at them. */
@@ -70,79 +70,79 @@
         listeners.add(listener);
     }
 
-    private void changed() {
+    private void notifyListeners() {
         listeners.forEach(Runnable::run);
     }
 
     private void ownLoadChanged() {
-        onOwnLoad.run();
-        changed();
+        onOwnLoadChange.run();
+        notifyListeners();
     }
 
     /** Takes the whole list as this instance has read it. */
     public void published(PublishedList list) {
-        List<TargetRow> left = new ArrayList<>();
+        List<TargetState> leaving = new ArrayList<>();
         List<PublishedTarget> read = new ArrayList<>();
         synchronized (this) {
             long now = timer.nanos();
             if (!reachable) {
                 reachable = true;
-                returned = now;
-                seenHere.clear();
+                reachableSince = now;
+                readHere.clear();
                 LogEvent.of("directory.reachable")
                         .with("targets", list.entries().size())
                         .info(LOG);
             }
-            asOf(now);
+            advanceKnownAsOf(now);
             Set<TargetId> listed = new HashSet<>();
             for (PublishedList.Entry entry : list.entries()) {
                 listed.add(entry.target().id());
-                publish(entry.target(), entry.revision(), now, left);
-                read.add(TargetNews.of(entry.target(), entry.revision()));
+                updateTarget(entry.target(), entry.revision(), now, leaving);
+                read.add(PublishedTargetCodec.encode(entry.target(), entry.revision()));
             }
-            boolean settled = now - returned >= RETURN_GRACE.toNanos();
-            for (TargetRow row : rows.values()) {
-                TargetId id = row.target().id();
-                boolean missing = !listed.contains(id) && !row.isWithdrawn() && row.revision() < list.revision();
-                if (missing && (settled || seenHere.contains(id))) {
-                    withdraw(row, list.revision(), now, left);
-                    read.add(TargetNews.withdrawn(id, list.revision()));
+            boolean settled = now - reachableSince >= RETURN_GRACE.toNanos();
+            for (TargetState state : states.values()) {
+                TargetId id = state.target().id();
+                boolean missing = !listed.contains(id) && !state.isUnpublished() && state.revision() < list.revision();
+                if (missing && (settled || readHere.contains(id))) {
+                    removeTarget(state, list.revision(), now, leaving);
+                    read.add(PublishedTargetCodec.encodeRemoval(id, list.revision()));
                 }
             }
-            seenHere.addAll(listed);
-            forget(now);
-            refresh();
+            readHere.addAll(listed);
+            removeExpired(now);
+            rebuildCandidates();
         }
         onRead.accept(read);
-        announce(left);
+        notifyLeaving(leaving);
     }
 
     /** Takes entries that other instances have read. */
-    void heard(Collection<PublishedTarget> entries) {
-        List<TargetRow> left = new ArrayList<>();
+    void applyUpdates(Collection<PublishedTarget> updates) {
+        List<TargetState> leaving = new ArrayList<>();
         synchronized (this) {
             long now = timer.nanos();
-            for (PublishedTarget entry : entries) {
-                TargetId id = new TargetId(entry.getTarget());
-                TargetRow row = rows.get(id);
-                Optional<ForwardTarget> target = TargetNews.target(entry);
+            for (PublishedTarget update : updates) {
+                TargetId id = new TargetId(update.getTarget());
+                TargetState state = states.get(id);
+                Optional<ForwardTarget> target = PublishedTargetCodec.decode(update);
                 if (target.isPresent()) {
-                    publish(target.get(), entry.getRevision(), now, left);
-                } else if (row != null && !row.isWithdrawn() && row.revision() < entry.getRevision()) {
-                    withdraw(row, entry.getRevision(), now, left);
+                    updateTarget(target.get(), update.getRevision(), now, leaving);
+                } else if (state != null && !state.isUnpublished() && state.revision() < update.getRevision()) {
+                    removeTarget(state, update.getRevision(), now, leaving);
                 }
             }
-            refresh();
+            rebuildCandidates();
         }
-        announce(left);
+        notifyLeaving(leaving);
     }
 
     /** Notes that all changes up to a read of the given age are known. */
-    synchronized void heardAsOf(Duration age) {
-        asOf(timer.nanos() - age.toNanos());
+    synchronized void updateAge(Duration age) {
+        advanceKnownAsOf(timer.nanos() - age.toNanos());
     }
 
-    private void asOf(long nanos) {
+    private void advanceKnownAsOf(long nanos) {
         if (!known || nanos - knownAsOf > 0) {
             known = true;
             knownAsOf = nanos;
@@ -154,71 +154,72 @@
         return known ? Optional.of(Duration.ofNanos(timer.nanos() - knownAsOf)) : Optional.empty();
     }
 
-    private void publish(ForwardTarget entry, long revision, long now, List<TargetRow> left) {
-        TargetRow row = rows.get(entry.id());
-        if (row != null && row.revision() >= revision) {
+    private void updateTarget(ForwardTarget entry, long revision, long now, List<TargetState> leaving) {
+        TargetState state = states.get(entry.id());
+        if (state != null && state.revision() >= revision) {
             return;
         }
-        if (row == null) {
-            row = new TargetRow(entry, revision, this::ownLoadChanged);
-            rows.put(entry.id(), row);
-            applyPeerLoads(row);
+        if (state == null) {
+            state = new TargetState(entry, revision, this::ownLoadChanged);
+            states.put(entry.id(), state);
+            applyPeerLoads(state);
             LogEvent.of("target.found")
                     .with("target", entry.id())
                     .with("service", entry.service())
                     .with("domain", entry.failureDomain())
                     .info(LOG);
         }
-        boolean wasLeaving = row.isLeaving();
-        row.publish(entry, revision);
+        boolean wasLeaving = state.isLeaving();
+        state.publish(entry, revision);
         if (!entry.leaving()) {
             leavingSince.remove(entry.id());
         } else if (!wasLeaving || !leavingSince.containsKey(entry.id())) {
-            leaves(row, "draining", now, left);
+            markLeaving(state, "draining", now, leaving);
         }
     }
 
-    private void withdraw(TargetRow row, long revision, long now, List<TargetRow> left) {
-        boolean wasLeaving = row.isLeaving();
-        row.withdraw(revision);
+    private void removeTarget(TargetState state, long revision, long now, List<TargetState> leaving) {
+        boolean wasLeaving = state.isLeaving();
+        state.unpublish(revision);
         if (!wasLeaving) {
-            leaves(row, "withdrawn", now, left);
+            markLeaving(state, "withdrawn", now, leaving);
         }
     }
 
-    private void leaves(TargetRow row, String reason, long now, List<TargetRow> left) {
-        leavingSince.putIfAbsent(row.target().id(), now);
-        left.add(row);
+    private void markLeaving(TargetState state, String reason, long now, List<TargetState> leaving) {
+        leavingSince.putIfAbsent(state.target().id(), now);
+        leaving.add(state);
         LogEvent.of("target.leaving")
-                .with("target", row.target().id())
+                .with("target", state.target().id())
                 .with("reason", reason)
-                .with("requests", row.ownRequests())
+                .with("requests", state.ownRequests())
                 .info(LOG);
     }
 
-    private void forget(long now) {
+    private void removeExpired(long now) {
         leavingSince.entrySet().removeIf(entry -> {
-            TargetRow row = rows.get(entry.getKey());
-            boolean old = now - entry.getValue() > MEMORY.toNanos() && (row == null || row.ownRequests() == 0);
-            if (old) {
-                rows.remove(entry.getKey());
+            TargetState state = states.get(entry.getKey());
+            boolean expired =
+                    now - entry.getValue() > RETENTION.toNanos() && (state == null || state.ownRequests() == 0);
+            if (expired) {
+                states.remove(entry.getKey());
             }
-            return old;
+            return expired;
         });
     }
 
-    private void refresh() {
-        Map<ServiceName, List<TargetRow>> next = new HashMap<>();
-        rows.values().stream()
-                .filter(row -> !row.isLeaving())
-                .forEach(row -> next.computeIfAbsent(row.target().service(), s -> new ArrayList<>())
-                        .add(row));
+    private void rebuildCandidates() {
+        Map<ServiceName, List<TargetState>> next = new HashMap<>();
+        states.values().stream()
+                .filter(state -> !state.isLeaving())
+                .forEach(state -> next.computeIfAbsent(state.target().service(), s -> new ArrayList<>())
+                        .add(state));
         candidates = next;
     }
 
-    private void announce(List<TargetRow> left) {
-        left.forEach(row -> row.flights().forEach(Flight::targetLeaves));
-        changed();
+    private void notifyLeaving(List<TargetState> leaving) {
+        leaving.forEach(state -> state.inFlightRequests().forEach(InFlightRequest::onTargetLeaving));
+        notifyListeners();
     }
 
     /** The list could not be read. */
@@ -235,35 +236,35 @@
     }
 
     /** Returns the targets of a service that may get new work; the list must not be changed. */
-    List<TargetRow> candidates(ServiceName service) {
+    List<TargetState> candidates(ServiceName service) {
         return candidates.getOrDefault(service, List.of());
     }
 
     /** Returns how many targets of a service were found to leave within the given time. */
-    synchronized int departures(ServiceName service, Duration within) {
+    synchronized int leavingCount(ServiceName service, Duration within) {
         long since = timer.nanos() - within.toNanos();
         return (int) leavingSince.entrySet().stream()
-                .filter(e -> e.getValue() - since >= 0 && rows.containsKey(e.getKey()))
-                .filter(e -> rows.get(e.getKey()).target().service().equals(service))
+                .filter(e -> e.getValue() - since >= 0 && states.containsKey(e.getKey()))
+                .filter(e -> states.get(e.getKey()).target().service().equals(service))
                 .count();
     }
 
     /** Tells whether a target must get no new work. */
-    boolean isLeaving(TargetRow row) {
-        return row.isLeaving();
+    boolean isLeaving(TargetState state) {
+        return state.isLeaving();
     }
 
     /** Returns what this instance has at each target and what it has seen fail there, for peers. */
     synchronized List<TargetLoad> ownLoads() {
         long now = timer.nanos();
         List<TargetLoad> loads = new ArrayList<>();
-        for (TargetRow row : rows.values()) {
-            int failures = row.outcomes().failures(now);
-            if (row.ownRequests() > 0 || row.ownTokens() > 0 || failures > 0) {
-                var load = new TargetLoad(row.target().id().value(), row.ownRequests(), row.ownTokens());
-                load.setUnreadTokens(row.unreadTokens());
+        for (TargetState state : states.values()) {
+            int failures = state.outcomes().failures(now);
+            if (state.ownRequests() > 0 || state.ownTokens() > 0 || failures > 0) {
+                var load = new TargetLoad(state.target().id().value(), state.ownRequests(), state.ownTokens());
+                load.setUnreadTokens(state.unreadTokens());
                 if (failures > 0) {
-                    load.setFailures(failures).setAnswers(row.outcomes().answers(now));
+                    load.setFailures(failures).setAnswers(state.outcomes().responses(now));
                 }
                 loads.add(load);
             }
@@ -272,45 +273,45 @@
     }
 
     /** Takes what another instance has at each target, which replaces what it said before. */
-    void peerLoads(InstanceId peer, List<TargetLoad> loads) {
+    void updatePeerLoads(InstanceId peer, List<TargetLoad> loads) {
         synchronized (this) {
-            Map<TargetId, TargetRow.PeerLoad> next = new HashMap<>();
+            Map<TargetId, TargetState.PeerLoad> next = new HashMap<>();
             loads.forEach(load -> next.put(
                     new TargetId(load.getTarget()),
-                    new TargetRow.PeerLoad(
+                    new TargetState.PeerLoad(
                             load.getRequests(),
                             load.getTokens(),
                             load.getUnreadTokens(),
                             load.getFailures(),
                             load.getAnswers())));
-            Map<TargetId, TargetRow.PeerLoad> before = Objects.requireNonNullElse(
+            Map<TargetId, TargetState.PeerLoad> previous = Objects.requireNonNullElse(
                     next.isEmpty() ? peerLoads.remove(peer) : peerLoads.put(peer, next), Map.of());
-            before.keySet().stream()
+            previous.keySet().stream()
                     .filter(id -> !next.containsKey(id))
-                    .forEach(id -> peerLoad(peer, id, TargetRow.PeerLoad.NONE));
-            next.forEach((id, load) -> peerLoad(peer, id, load));
+                    .forEach(id -> updatePeerLoad(peer, id, TargetState.PeerLoad.NONE));
+            next.forEach((id, load) -> updatePeerLoad(peer, id, load));
         }
-        changed();
+        notifyListeners();
     }
 
-    private void peerLoad(InstanceId peer, TargetId target, TargetRow.PeerLoad load) {
-        TargetRow row = rows.get(target);
-        if (row != null) {
-            row.peerLoad(peer, load);
+    private void updatePeerLoad(InstanceId peer, TargetId target, TargetState.PeerLoad load) {
+        TargetState state = states.get(target);
+        if (state != null) {
+            state.updatePeerLoad(peer, load);
         }
     }
 
-    private void applyPeerLoads(TargetRow row) {
+    private void applyPeerLoads(TargetState state) {
         peerLoads.forEach((peer, loads) -> {
-            TargetRow.PeerLoad load = loads.get(row.target().id());
+            TargetState.PeerLoad load = loads.get(state.target().id());
             if (load != null) {
-                row.peerLoad(peer, load);
+                state.updatePeerLoad(peer, load);
             }
         });
     }
 
     /** Forgets what another instance said, after it has gone. */
     void forgetPeer(InstanceId peer) {
-        peerLoads(peer, List.of());
+        updatePeerLoads(peer, List.of());
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/TargetRow.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetState.java
@@ -11,25 +11,25 @@
 import org.verbenatally.core.InstanceId;
 
 /** What this instance knows of one target: the published entry, the load here and at peers, and recent failures. */
-final class TargetRow {
+final class TargetState {
     /** A target that could not be reached is tried again after this time, then after twice as long, and so on. */
     private static final Duration FIRST_SUSPENSION = Duration.ofMillis(500);
 
     private static final Duration LONGEST_SUSPENSION = Duration.ofSeconds(4);
     /** Good answers that are taken for granted, so that a single failure does not condemn a target. */
-    private static final int PRIOR_ANSWERS = 9;
+    private static final int PRIOR_SUCCESSES = 9;
 
     private volatile ForwardTarget target;
-    private volatile boolean withdrawn;
+    private volatile boolean unpublished;
     private volatile long revision;
-    private final Runnable onLoad;
-    private final Set<Flight> flights = ConcurrentHashMap.newKeySet();
-    private final Set<Flight> copies = ConcurrentHashMap.newKeySet();
-    private final Map<InstanceId, PeerLoad> peers = new HashMap<>();
-    private volatile PeerLoad peerSum = PeerLoad.NONE;
+    private final Runnable onLoadChange;
+    private final Set<InFlightRequest> inFlightRequests = ConcurrentHashMap.newKeySet();
+    private final Set<InFlightRequest> copies = ConcurrentHashMap.newKeySet();
+    private final Map<InstanceId, PeerLoad> peerLoads = new HashMap<>();
+    private volatile PeerLoad peerTotal = PeerLoad.NONE;
     private long suspendedUntil;
     private boolean suspended;
-    private boolean inDoubt;
+    private boolean suspected;
     private Duration suspension = FIRST_SUSPENSION;
     private final RecentOutcomes outcomes = new RecentOutcomes();
 
@@ -40,9 +40,9 @@
      * @param tokens memory that they are expected to need, in tokens
      * @param unreadTokens prompt tokens among them that the target has probably not read yet
      * @param failures requests that the target failed lately
-     * @param answers requests that it answered in the same time, the failed ones included; 0 if it failed none
+     * @param responses requests that it answered in the same time, the failed ones included; 0 if it failed none
      */
-    record PeerLoad(int requests, long tokens, long unreadTokens, int failures, int answers) {
+    record PeerLoad(int requests, long tokens, long unreadTokens, int failures, int responses) {
         static final PeerLoad NONE = new PeerLoad(0, 0, 0, 0, 0);
 
         private PeerLoad plus(PeerLoad other, int sign) {
@@ -51,7 +51,7 @@
                     tokens + sign * other.tokens,
                     unreadTokens + sign * other.unreadTokens,
                     failures + sign * other.failures,
-                    answers + sign * other.answers);
+                    responses + sign * other.responses);
         }
     }
 
@@ -59,12 +59,12 @@
      * Creates a row without load.
      *
      * @param revision revision of the published list at which the entry was written
-     * @param onLoad told whenever the load of this instance at the target changes
+     * @param onLoadChange told whenever the load of this instance at the target changes
      */
-    TargetRow(ForwardTarget target, long revision, Runnable onLoad) {
+    TargetState(ForwardTarget target, long revision, Runnable onLoadChange) {
         this.target = Objects.requireNonNull(target, "target");
         this.revision = revision;
-        this.onLoad = Objects.requireNonNull(onLoad, "onLoad");
+        this.onLoadChange = Objects.requireNonNull(onLoadChange, "onLoadChange");
     }
 
     ForwardTarget target() {
@@ -77,92 +77,96 @@
     }
 
     /** Takes the entry as it was published at a revision. */
-    void publish(ForwardTarget entry, long at) {
+    void publish(ForwardTarget entry, long atRevision) {
         if (!entry.isSameRun(target)) {
-            recovered();
+            onRestart();
         }
         target = entry;
-        withdrawn = false;
-        revision = at;
+        unpublished = false;
+        revision = atRevision;
     }
 
     /** The published list no longer has it at a revision. */
-    void withdraw(long at) {
-        withdrawn = true;
-        revision = at;
+    void unpublish(long atRevision) {
+        unpublished = true;
+        revision = atRevision;
     }
 
-    boolean isWithdrawn() {
-        return withdrawn;
+    boolean isUnpublished() {
+        return unpublished;
     }
 
     boolean isLeaving() {
-        return withdrawn || target.leaving();
+        return unpublished || target.leaving();
     }
 
-    void begin(Flight flight) {
-        flights.add(flight);
-        loadChanged(flight);
+    void addInFlight(InFlightRequest inFlight) {
+        inFlightRequests.add(inFlight);
+        loadChanged(inFlight);
     }
 
-    void end(Flight flight) {
-        flights.remove(flight);
-        loadChanged(flight);
+    void removeInFlight(InFlightRequest inFlight) {
+        inFlightRequests.remove(inFlight);
+        loadChanged(inFlight);
     }
 
-    void keepCopy(Flight flight) {
-        copies.add(flight);
-        loadChanged(flight);
+    void reserveCopy(InFlightRequest inFlight) {
+        copies.add(inFlight);
+        loadChanged(inFlight);
     }
 
-    void dropCopy(Flight flight) {
-        copies.remove(flight);
-        loadChanged(flight);
+    void releaseCopy(InFlightRequest inFlight) {
+        copies.remove(inFlight);
+        loadChanged(inFlight);
     }
 
     /** Calls of plain services end before others have heard of them. */
-    void loadChanged(Flight flight) {
-        if (flight.isGeneration()) {
-            onLoad.run();
+    void loadChanged(InFlightRequest inFlight) {
+        if (inFlight.isGeneration()) {
+            onLoadChange.run();
         }
     }
 
-    List<Flight> flights() {
-        return List.copyOf(flights);
+    List<InFlightRequest> inFlightRequests() {
+        return List.copyOf(inFlightRequests);
     }
 
     int ownRequests() {
-        return flights.size();
+        return inFlightRequests.size();
     }
 
     long ownTokens() {
-        return flights.stream().mapToLong(Flight::memory).sum()
-                + copies.stream().mapToLong(Flight::memory).sum();
+        return inFlightRequests.stream()
+                        .mapToLong(InFlightRequest::expectedMemory)
+                        .sum()
+                + copies.stream().mapToLong(InFlightRequest::expectedMemory).sum();
     }
 
     long unreadTokens() {
-        return flights.stream().mapToLong(Flight::unreadTokens).sum();
+        return inFlightRequests.stream()
+                .mapToLong(InFlightRequest::unreadTokens)
+                .sum();
     }
 
-    synchronized void peerLoad(InstanceId peer, PeerLoad load) {
-        PeerLoad before = load.equals(PeerLoad.NONE) ? peers.remove(peer) : peers.put(peer, load);
-        peerSum = peerSum.plus(load, 1).plus(before == null ? PeerLoad.NONE : before, -1);
+    synchronized void updatePeerLoad(InstanceId peer, PeerLoad load) {
+        PeerLoad before = load.equals(PeerLoad.NONE) ? peerLoads.remove(peer) : peerLoads.put(peer, load);
+        peerTotal = peerTotal.plus(load, 1).plus(before == null ? PeerLoad.NONE : before, -1);
     }
 
     int peerRequests() {
-        return peerSum.requests();
+        return peerTotal.requests();
     }
 
     long peerTokens() {
-        return peerSum.tokens();
+        return peerTotal.tokens();
     }
 
     long peerUnreadTokens() {
-        return peerSum.unreadTokens();
+        return peerTotal.unreadTokens();
     }
 
     /** The target could not be reached, or fell silent. */
-    synchronized void unreachable(long now) {
+    synchronized void onUnreachable(long now) {
         suspended = true;
         suspendedUntil = now + suspension.toNanos();
         suspension = suspension.multipliedBy(2);
@@ -172,17 +176,17 @@
     }
 
     /** An answer arrived whole, or was lost; the other instances are told of failures. */
-    void answered(boolean failure, long now) {
+    void recordOutcome(boolean failure, long now) {
         outcomes.add(failure, now);
         if (failure) {
-            onLoad.run();
+            onLoadChange.run();
         } else {
-            listensAndServes();
+            clearSuspension();
         }
     }
 
-    private synchronized void listensAndServes() {
-        inDoubt = false;
+    private synchronized void clearSuspension() {
+        suspected = false;
         suspended = false;
         suspension = FIRST_SUSPENSION;
     }
@@ -191,19 +195,19 @@
      * Returns whether to look if the target died: not while somebody looks, and not again after it died, until it has
      * answered or started anew.
      */
-    synchronized boolean doubt() {
-        boolean isNew = !inDoubt;
-        inDoubt = true;
+    synchronized boolean trySuspect() {
+        boolean isNew = !suspected;
+        suspected = true;
         return isNew;
     }
 
     /** The target was found to listen. */
-    synchronized void listens() {
-        inDoubt = false;
+    synchronized void onListening() {
+        suspected = false;
     }
 
-    private void recovered() {
-        listensAndServes();
+    private void onRestart() {
+        clearSuspension();
         outcomes.reset();
     }
 
@@ -214,10 +218,10 @@
 
     /** Returns the share of recent requests that it failed, 0 to 1, as all instances have seen. */
     double failureShare(long now) {
-        PeerLoad others = peerSum;
-        int failures = outcomes.failures(now) + others.failures();
-        int answers = outcomes.answers(now) + others.answers();
-        return (double) failures / (answers + PRIOR_ANSWERS);
+        PeerLoad peerTotals = peerTotal;
+        int failures = outcomes.failures(now) + peerTotals.failures();
+        int responses = outcomes.responses(now) + peerTotals.responses();
+        return (double) failures / (responses + PRIOR_SUCCESSES);
     }
 
     synchronized boolean isSuspended(long now) {
--- a/forward/src/main/java/org/verbenatally/forward/WireCodec.java
+++ b/forward/src/main/java/org/verbenatally/forward/WireCodec.java
@@ -25,7 +25,7 @@
     void write(TargetOrder order, MultiMap headers);
 
     /** Reads the head of a target's answer. */
-    AnswerHead read(HttpClientResponse answer);
+    AnswerHead read(HttpClientResponse response);
 
     /**
      * Returns the call that copies a running generation to another engine.
--- a/forward/src/test/java/org/verbenatally/forward/BodyMemoryTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/BodyMemoryTest.java
@@ -10,10 +10,10 @@
     @Test
     void refusedBytesAreNotTaken() {
         BodyMemory memory = new BodyMemory(100);
-        assertThat(memory.take(80)).isTrue();
-        assertThat(memory.take(30)).isFalse();
-        assertThat(memory.take(20)).isTrue();
-        memory.giveBack(100);
-        assertThat(memory.taken()).isZero();
+        assertThat(memory.reserve(80)).isTrue();
+        assertThat(memory.reserve(30)).isFalse();
+        assertThat(memory.reserve(20)).isTrue();
+        memory.release(100);
+        assertThat(memory.reserved()).isZero();
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/CrashDetectorTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/CrashDetectorTest.java
@@ -47,11 +47,11 @@
     }
 
     /** A target that stops listening when it gets its first request, or only breaks off the exchange. */
-    private static RawTarget breaking(AtomicInteger runs, boolean dies) throws Exception {
+    private static RawTarget failingTarget(AtomicInteger runs, boolean stopsListening) throws Exception {
         AtomicReference<RawTarget> self = new AtomicReference<>();
         self.set(new RawTarget((head, out, socket) -> {
             runs.incrementAndGet();
-            if (dies) {
+            if (stopsListening) {
                 self.get().close();
             }
             RawTarget.reset(socket);
@@ -60,9 +60,9 @@
         return self.get();
     }
 
-    private int sendUntilRefused(String body, int most) throws Exception {
+    private int sendUntilRefused(String body, int maxSends) throws Exception {
         int sent = 0;
-        while (sent < most && send(body) != CallerExchange.UNAVAILABLE) {
+        while (sent < maxSends && send(body) != CallerExchange.UNAVAILABLE) {
             sent++;
             // The target is looked at after the answer.
             Thread.sleep(200);
@@ -76,7 +76,7 @@
         AtomicInteger runs = new AtomicInteger();
         List<RawTarget> targets = new ArrayList<>();
         for (int i = 0; i < 2 * CRASHES; i++) {
-            targets.add(breaking(runs, true));
+            targets.add(failingTarget(runs, true));
             fixture.publish("t" + i, CALLS, targets.get(i));
         }
         sendUntilRefused("poison", 2 * CRASHES);
@@ -124,7 +124,7 @@
     @Test
     void lostAnswersAreNoCrash() throws Exception {
         AtomicInteger runs = new AtomicInteger();
-        try (var target = breaking(runs, false)) {
+        try (var target = failingTarget(runs, false)) {
             fixture.publish("a", CALLS, target);
             assertThat(sendUntilRefused("same", 2 * CRASHES)).isEqualTo(2 * CRASHES);
         }
--- a/forward/src/test/java/org/verbenatally/forward/LateCopyTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/DuplicateResponseTest.java
@@ -23,12 +23,12 @@
 import static org.verbenatally.forward.ForwardFixture.ENGINES;
 
 /** Targets that send a second copy of an answer, late, on a connection that is in use again. */
-class LateCopyTest {
+class DuplicateResponseTest {
     private static final int CALLERS = 8;
     private static final int ROUNDS = 25;
 
     private final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
-    private final AtomicInteger copies = new AtomicInteger();
+    private final AtomicInteger duplicates = new AtomicInteger();
     private final List<RawTarget> targets = new ArrayList<>();
     private ForwardFixture fixture;
 
@@ -58,7 +58,7 @@
         return "HTTP/1.1 503 Full\r\nTest-Id: " + id + "\r\nTest-Not-Run: yes\r\nContent-Length: 0\r\n\r\n";
     }
 
-    private int run(String id) {
+    private int countRun(String id) {
         return runs.computeIfAbsent(id, i -> new AtomicInteger()).incrementAndGet();
     }
 
@@ -75,80 +75,82 @@
      */
     @ParameterizedTest
     @CsvSource({"/once/x, 0", "/once/x, 5", "/repeat/x, 0", "/repeat/x, 5"})
-    void nobodyGetsTheAnswerOfAnother(String path, long delayMs) throws Exception {
+    void duplicateResponseReachesNoOtherCaller(String path, long delayMs) throws Exception {
         for (String name : List.of("a", "b")) {
-            Map<Object, String> lastOf = new ConcurrentHashMap<>();
+            Map<Object, String> previousIds = new ConcurrentHashMap<>();
             publish(name, CALLS, 0, (head, out, socket) -> {
                 String id = RawTarget.header(head, TestCodec.ID);
-                run(id);
-                String last = lastOf.put(socket, id);
-                if (last != null && delayMs > 0) {
-                    copies.incrementAndGet();
-                    RawTarget.write(out, served(last));
+                countRun(id);
+                String previousId = previousIds.put(socket, id);
+                if (previousId != null && delayMs > 0) {
+                    duplicates.incrementAndGet();
+                    RawTarget.write(out, served(previousId));
                 }
                 TimeUnit.MILLISECONDS.sleep(delayMs);
                 RawTarget.write(out, served(id));
                 if (delayMs == 0) {
-                    copies.incrementAndGet();
+                    duplicates.incrementAndGet();
                     RawTarget.write(out, served(id));
                 }
                 return true;
             });
         }
         for (int round = 0; round < ROUNDS; round++) {
-            Map<String, CompletableFuture<HttpResponse<String>>> answers = new ConcurrentHashMap<>();
+            Map<String, CompletableFuture<HttpResponse<String>>> responses = new ConcurrentHashMap<>();
             for (int i = 0; i < CALLERS; i++) {
                 String id = "r" + round + "-" + i;
-                answers.put(id, fixture.sendLater(fixture.request(path, id).build()));
+                responses.put(id, fixture.sendLater(fixture.request(path, id).build()));
             }
-            for (var answer : answers.entrySet()) {
-                HttpResponse<String> got = answer.getValue().get(20, TimeUnit.SECONDS);
-                if (got.statusCode() == 200) {
-                    assertThat(got.body()).isEqualTo(answer.getKey());
+            for (var response : responses.entrySet()) {
+                HttpResponse<String> received = response.getValue().get(20, TimeUnit.SECONDS);
+                if (received.statusCode() == 200) {
+                    assertThat(received.body()).isEqualTo(response.getKey());
                 } else {
-                    assertThat(got.statusCode()).as("says that it has not run").isNotIn(429, 503, 408, 421);
+                    assertThat(received.statusCode())
+                            .as("says that it has not run")
+                            .isNotIn(429, 503, 408, 421);
                 }
             }
         }
-        assertThat(copies).as("copies sent").hasPositiveValue();
+        assertThat(duplicates).as("copies sent").hasPositiveValue();
         if (path.startsWith("/once")) {
-            assertThat(runs.values()).allMatch(n -> n.get() == 1);
+            assertThat(runs.values()).allMatch(count -> count.get() == 1);
         }
     }
 
     /** Guards against a refusal of another request that makes a running one run again elsewhere. */
     @ParameterizedTest
     @CsvSource({"/once/x, calls", "/stream/x, engines"})
-    void refusalOfAnotherRequestDoesNotCount(String path, String service) throws Exception {
+    void refusalOfAnotherRequestIsIgnored(String path, String service) throws Exception {
         ServiceName name = service.equals("calls") ? CALLS : ENGINES;
         for (String target : List.of("a", "b")) {
-            Map<Object, String> lastOf = new ConcurrentHashMap<>();
+            Map<Object, String> previousIds = new ConcurrentHashMap<>();
             publish(target, name, 0, (head, out, socket) -> {
                 String id = RawTarget.header(head, TestCodec.ID);
-                String last = lastOf.put(socket, id);
-                if (last == null) {
+                String previousId = previousIds.put(socket, id);
+                if (previousId == null) {
                     RawTarget.write(out, refused(id));
                     return true;
                 }
                 // The request is at work from here on, while the copy of the refusal is on its way.
-                run(id);
-                copies.incrementAndGet();
-                RawTarget.write(out, refused(last));
+                countRun(id);
+                duplicates.incrementAndGet();
+                RawTarget.write(out, refused(previousId));
                 TimeUnit.MILLISECONDS.sleep(200);
                 return false;
             });
         }
         for (int i = 0; i < 20; i++) {
-            int before = copies.get();
+            int before = duplicates.get();
             int status = status(fixture.request(path, "r" + i)
                     .header(TestCodec.TOKENS, "400")
                     .build());
-            if (copies.get() > before) {
+            if (duplicates.get() > before) {
                 assertThat(status).as("says that it has not run").isNotIn(429, 503, 408, 421);
             }
         }
-        assertThat(copies).as("copies sent").hasPositiveValue();
-        assertThat(runs).allSatisfy((id, n) -> assertThat(n).as(id).hasValue(1));
+        assertThat(duplicates).as("copies sent").hasPositiveValue();
+        assertThat(runs).allSatisfy((id, count) -> assertThat(count).as(id).hasValue(1));
     }
 
     /** Returns the status of an answer, 0 if the connection was closed instead. */
@@ -162,14 +164,14 @@
 
     /** Guards against a stream that is mixed with that of another request. */
     @Test
-    void copyOfAStreamIsNotPassedOn() throws Exception {
-        Map<Object, String> lastOf = new ConcurrentHashMap<>();
+    void duplicateResponseIsNotMixedIntoStream() throws Exception {
+        Map<Object, String> previousIds = new ConcurrentHashMap<>();
         publish("a", ENGINES, 0, (head, out, socket) -> {
             String id = RawTarget.header(head, TestCodec.ID);
-            String last = lastOf.put(socket, id);
-            if (last != null) {
-                copies.incrementAndGet();
-                RawTarget.write(out, served(last));
+            String previousId = previousIds.put(socket, id);
+            if (previousId != null) {
+                duplicates.incrementAndGet();
+                RawTarget.write(out, served(previousId));
             }
             RawTarget.write(out, served(id, "Transfer-Encoding: chunked\r\n\r\n"));
             String event = "id: 1\ndata: " + id + "\n\n";
@@ -177,12 +179,12 @@
             return true;
         });
         for (int i = 0; i < 20; i++) {
-            HttpResponse<String> got =
+            HttpResponse<String> received =
                     fixture.send(fixture.request("/stream/x", "r" + i).build());
-            if (got.statusCode() == 200) {
-                assertThat(got.body()).isEqualTo("id: 1\ndata: r" + i + "\n\n");
+            if (received.statusCode() == 200) {
+                assertThat(received.body()).isEqualTo("id: 1\ndata: r" + i + "\n\n");
             }
         }
-        assertThat(copies).as("copies sent").hasPositiveValue();
+        assertThat(duplicates).as("copies sent").hasPositiveValue();
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/EndlessAnswerTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/EndlessResponseTest.java
@@ -21,17 +21,17 @@
 import static org.verbenatally.forward.ForwardFixture.ENGINES;
 
 /** Targets whose bytes do not end until their client closes the connection. */
-class EndlessAnswerTest {
+class EndlessResponseTest {
     /** Far beyond the patience of the callers, which is 3 s; only a failed test waits this long. */
     private static final long BOUND_SECONDS = 20;
 
     /** What is read of a head, or of an event, is bounded; the rest of this may wait in sockets. */
-    private static final long MOST_BYTES_OF_A_HEAD = 32L << 20;
+    private static final long MAX_HEAD_BYTES_READ = 32L << 20;
 
     private static final int OK = 200;
-    private static final Duration TRICKLE = Duration.ofMillis(100);
+    private static final Duration TRICKLE_INTERVAL = Duration.ofMillis(100);
 
-    private final CountDownLatch closed = new CountDownLatch(1);
+    private final CountDownLatch closedByInstance = new CountDownLatch(1);
     private final AtomicLong written = new AtomicLong();
     private ForwardFixture fixture;
     private RawTarget target;
@@ -49,7 +49,7 @@
     }
 
     /** Returns how an answer of each kind begins; what follows is repeated. */
-    private static String beginning(String kind, String id) {
+    private static String responseStart(String kind, String id) {
         String head = "HTTP/1.1 200 OK\r\nTest-Id: " + id + "\r\nTest-Signed: yes\r\n";
         return switch (kind) {
             case "status line" -> "HTTP/1.1 200 ";
@@ -62,7 +62,7 @@
         };
     }
 
-    private static String repeated(String kind) {
+    private static String repeatedPart(String kind) {
         return switch (kind) {
             case "headers", "trailers" -> "A: b\r\n".repeat(200);
             case "interim answers" -> "HTTP/1.1 102 Processing\r\n\r\n".repeat(50);
@@ -81,47 +81,48 @@
                         out, "HTTP/1.1 200 OK\r\nTest-Id: next\r\nTest-Signed: yes\r\nContent-Length: 4\r\n\r\nnext");
                 return true;
             }
-            RawTarget.write(out, beginning(kind, RawTarget.header(head, TestCodec.ID)));
-            writeOn(out, socket, repeated(kind), slowly);
+            RawTarget.write(out, responseStart(kind, RawTarget.header(head, TestCodec.ID)));
+            writeUntilClosed(out, socket, repeatedPart(kind), slowly);
             return false;
         });
         fixture.publish("a", CALLS, target);
         fixture.publish("b", ENGINES, target);
     }
 
-    private void writeOn(OutputStream out, Socket socket, String bytes, boolean slowly) throws InterruptedException {
+    private void writeUntilClosed(OutputStream out, Socket socket, String bytes, boolean slowly)
+            throws InterruptedException {
         try {
             while (!socket.isClosed()) {
                 RawTarget.write(out, slowly ? bytes.substring(0, 1) : bytes);
                 written.addAndGet(bytes.length());
                 if (slowly) {
-                    TimeUnit.NANOSECONDS.sleep(TRICKLE.toNanos());
+                    TimeUnit.NANOSECONDS.sleep(TRICKLE_INTERVAL.toNanos());
                 }
             }
         } catch (IOException e) {
             // The instance has closed the connection.
-            closed.countDown();
+            closedByInstance.countDown();
         }
     }
 
     /** Sends a request and drops its answer; returns whether it looked like a whole success. */
-    private boolean isServed(String path) throws Exception {
+    private boolean isSuccessful(String path) throws Exception {
         try {
-            HttpResponse<InputStream> answer =
+            HttpResponse<InputStream> response =
                     fixture.open(fixture.request(path, "endless").build());
-            try (InputStream body = answer.body()) {
+            try (InputStream body = response.body()) {
                 body.transferTo(OutputStream.nullOutputStream());
             }
-            assertThat(answer.statusCode()).as("says whether it ran").isNotIn(429, 503, 408, 421);
-            return answer.statusCode() == OK;
+            assertThat(response.statusCode()).as("says whether it ran").isNotIn(429, 503, 408, 421);
+            return response.statusCode() == OK;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private void expectEndedAndNextServed(String path) throws Exception {
-        assertThat(isServed(path)).as("looked whole").isFalse();
-        assertThat(closed.await(BOUND_SECONDS, TimeUnit.SECONDS))
+    private void assertClosedAndNextServed(String path) throws Exception {
+        assertThat(isSuccessful(path)).as("looked whole").isFalse();
+        assertThat(closedByInstance.await(BOUND_SECONDS, TimeUnit.SECONDS))
                 .as("connection closed")
                 .isTrue();
         HttpResponse<String> next =
@@ -145,20 +146,20 @@
         "chunk size, /stream/x",
         "event, /stream/x"
     })
-    void endlessFrameEnds(String kind, String path) throws Exception {
+    void endlessHeadOrFramingIsCutOff(String kind, String path) throws Exception {
         publish(kind, false);
-        expectEndedAndNextServed(path);
+        assertClosedAndNextServed(path);
         if (!kind.equals("interim answers")) {
-            assertThat(written.get()).as("bytes read").isLessThan(MOST_BYTES_OF_A_HEAD);
+            assertThat(written.get()).as("bytes read").isLessThan(MAX_HEAD_BYTES_READ);
         }
     }
 
     /** Guards against a body without end that is passed on after the caller's time is over. */
     @ParameterizedTest
     @CsvSource({"body, /once/x", "body, /repeat/x", "events, /stream/x", "comments, /stream/x"})
-    void endlessBodyEndsWithTheTimeOfItsCaller(String kind, String path) throws Exception {
+    void endlessBodyEndsAtCallerTimeout(String kind, String path) throws Exception {
         publish(kind, false);
-        expectEndedAndNextServed(path);
+        assertClosedAndNextServed(path);
     }
 
     /** Guards against a byte now and then that keeps an exchange open. */
@@ -171,25 +172,25 @@
         "body, /stream/x",
         "comments, /stream/x"
     })
-    void trickleEndsWithTheTimeOfItsCaller(String kind, String path) throws Exception {
+    void trickleEndsAtCallerTimeout(String kind, String path) throws Exception {
         publish(kind, true);
-        expectEndedAndNextServed(path);
+        assertClosedAndNextServed(path);
     }
 
     /** Guards against answers that are slow but sound, and that are cut by the rules against the others. */
     @Test
-    void slowAnswerIsServed() throws Exception {
+    void slowResponseIsServed() throws Exception {
         target = new RawTarget((head, out, socket) -> {
             RawTarget.write(out, "HTTP/1.1 200 OK\r\nTest-Id: slow\r\nTest-Signed: yes\r\nContent-Length: 10\r\n\r\n");
             for (int i = 0; i < 10; i++) {
-                TimeUnit.NANOSECONDS.sleep(TRICKLE.toNanos());
+                TimeUnit.NANOSECONDS.sleep(TRICKLE_INTERVAL.toNanos());
                 RawTarget.write(out, "x");
             }
             return true;
         });
         fixture.publish("a", CALLS, target);
-        HttpResponse<String> answer =
+        HttpResponse<String> response =
                 fixture.send(fixture.request("/once/x", "slow").build());
-        assertThat(answer.body()).isEqualTo("x".repeat(10));
+        assertThat(response.body()).isEqualTo("x".repeat(10));
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/EngineAdmissionTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/EngineAdmissionTest.java
@@ -23,18 +23,18 @@
      */
     @ParameterizedTest
     @CsvSource({"39000, 4000, 8000", "6000, 700, 2000", "1000, 300, 400", "0, 0, 0"})
-    void refusedCallersComeBackWhenRoomIsLikely(long leftMs, long soonestMs, long latestMs) {
-        Set<Duration> seen = new HashSet<>();
+    void retryAfterMatchesExpectedFreeCapacity(long remainingMs, long minMs, long maxMs) {
+        Set<Duration> values = new HashSet<>();
         for (int i = 0; i < 200; i++) {
-            seen.add(EngineAdmission.comeBackAfter(Duration.ofMillis(leftMs)));
+            values.add(EngineAdmission.retryAfter(Duration.ofMillis(remainingMs)));
         }
-        assertThat(seen).allMatch(d -> d.toMillis() >= soonestMs && d.toMillis() <= latestMs);
-        assertThat(seen).hasSizeGreaterThan(latestMs > 1_000 ? 50 : 0);
+        assertThat(values).allMatch(d -> d.toMillis() >= minMs && d.toMillis() <= maxMs);
+        assertThat(values).hasSizeGreaterThan(maxMs > 1_000 ? 50 : 0);
     }
 
     /** Pattern: a burst at a full fleet. Guards against callers that are held although no engine can serve them. */
     @Test
-    void burstAtFullEnginesIsAnsweredAtOnce() throws Exception {
+    void burstAtFullEnginesIsRefusedPromptly() throws Exception {
         try (var fixture = new ForwardFixture();
                 var engine = new RawTarget((head, out, socket) -> {
                     Thread.sleep(100_000);
@@ -42,16 +42,16 @@
                 })) {
             fixture.configure(1);
             fixture.publish("engine", ForwardFixture.ENGINES, engine);
-            List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
+            List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
             for (int i = 0; i < 20; i++) {
                 String id = "r" + i;
-                answers.add(fixture.sendLater(fixture.request("/stream/x", id)
+                responses.add(fixture.sendLater(fixture.request("/stream/x", id)
                         .header(TestCodec.TOKENS, "40000")
                         .build()));
             }
             int refused = 0;
-            for (var answer : answers) {
-                HttpResponse<String> response = answer.get(30, TimeUnit.SECONDS);
+            for (var pending : responses) {
+                HttpResponse<String> response = pending.get(30, TimeUnit.SECONDS);
                 if (response.statusCode() == 503) {
                     refused++;
                     assertThat(response.headers().firstValue("Retry-After")).isPresent();
--- a/forward/src/test/java/org/verbenatally/forward/EventSplitterTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/EventSplitterTest.java
@@ -14,11 +14,11 @@
 
     /** Guards against events that are torn, lost or doubled when their bytes arrive in any pieces. */
     @Property(tries = 300, seed = "7")
-    void wholeEventsOnly(
+    void returnsOnlyCompleteEvents(
             @ForAll @IntRange(min = 1, max = 20) int events,
-            @ForAll @Size(max = 30) List<@IntRange(min = 1, max = 25) Integer> pieces,
+            @ForAll @Size(max = 30) List<@IntRange(min = 1, max = 25) Integer> chunkSizes,
             @ForAll boolean crlf)
-            throws EventSplitter.EndlessEventException {
+            throws EventSplitter.EventTooLongException {
         String line = crlf ? "\r\n" : "\n";
         StringBuilder text = new StringBuilder();
         for (int i = 1; i <= events; i++) {
@@ -32,19 +32,19 @@
         }
         Buffer all = Buffer.buffer(text.toString());
         EventSplitter splitter = new EventSplitter();
-        Buffer passed = Buffer.buffer();
+        Buffer returned = Buffer.buffer();
         int at = 0;
-        for (int size : pieces) {
+        for (int size : chunkSizes) {
             int end = Math.min(all.length(), at + size);
-            passed.appendBuffer(splitter.take(all.getBuffer(at, end)));
+            returned.appendBuffer(splitter.append(all.getBuffer(at, end)));
             at = end;
-            assertThat(passed.length() == 0 || passed.toString().endsWith(line + line))
+            assertThat(returned.length() == 0 || returned.toString().endsWith(line + line))
                     .isTrue();
         }
-        passed.appendBuffer(splitter.take(all.getBuffer(at, all.length())));
-        assertThat(passed).isEqualTo(all);
+        returned.appendBuffer(splitter.append(all.getBuffer(at, all.length())));
+        assertThat(returned).isEqualTo(all);
         assertThat(splitter.lastId()).contains(Integer.toString(events));
         assertThat(splitter.count()).isEqualTo(events);
-        assertThat(splitter.hasRest()).isFalse();
+        assertThat(splitter.hasIncompleteEvent()).isFalse();
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/ForwardDeploymentTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardDeploymentTest.java
@@ -35,17 +35,17 @@
 
     /** Guards against a request that is sent by a shorter prefix, or by the route of another host. */
     @Test
-    void longestPrefixOfTheHostWins() {
-        Route wide = route("one.example", "/a/", share("x", 1));
-        Route narrow = route("one.example", "/a/b/", share("y", 1));
+    void longestPrefixOfHostIsChosen() {
+        Route shorter = route("one.example", "/a/", share("x", 1));
+        Route longer = route("one.example", "/a/b/", share("y", 1));
         var deployment = new ForwardDeployment(
                 new ConfigVersion(1),
-                List.of(wide, narrow),
+                List.of(shorter, longer),
                 List.of(),
                 Map.of(),
                 new ForwardDeployment.CallerLimits(1, 1));
-        assertThat(deployment.route("ONE.example", "/a/b/c")).contains(narrow);
-        assertThat(deployment.route("one.example", "/a/bc")).contains(wide);
+        assertThat(deployment.route("ONE.example", "/a/b/c")).contains(longer);
+        assertThat(deployment.route("one.example", "/a/bc")).contains(shorter);
         assertThat(deployment.route("one.example", "/ab/c")).isEmpty();
         assertThat(deployment.route("two.example", "/a/b/c")).isEmpty();
     }
@@ -54,12 +54,12 @@
     @Test
     void sharesFollowTheirWeights() {
         Route split = route("h", "/", share("x", 90), share("y", 10), share("z", 0));
-        int y = 0;
+        int toY = 0;
         for (int i = 0; i < 1_000; i++) {
             ServiceName service = split.service(i - 500);
             assertThat(service.value()).isNotEqualTo("z");
-            y += service.value().equals("y") ? 1 : 0;
+            toY += service.value().equals("y") ? 1 : 0;
         }
-        assertThat(y).isEqualTo(100);
+        assertThat(toY).isEqualTo(100);
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -43,11 +43,11 @@
     private final AtomicReference<ForwardDeployment> deployment = new AtomicReference<>();
 
     ForwardFixture() throws IOException {
-        callers = free();
+        callers = unusedAddress();
         server = new ForwardServer(
                 new ForwardOptions(
                         callers,
-                        free(),
+                        unusedAddress(),
                         "/ready",
                         Optional.empty(),
                         peers(),
@@ -65,14 +65,14 @@
     }
 
     private static PeerOptions peers() throws IOException {
-        Address a = free();
+        Address address = unusedAddress();
         return new PeerOptions(
                 new InstanceId("one"),
                 new FailureDomain("here"),
                 "region",
                 ForwardDeployment.NAME,
-                a.host(),
-                a.port(),
+                address.host(),
+                address.port(),
                 Optional.empty(),
                 List.of(),
                 Optional.empty(),
@@ -81,7 +81,7 @@
                 PeerTimings.standard().dividedBy(20));
     }
 
-    private static Address free() throws IOException {
+    private static Address unusedAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new Address(socket.getInetAddress().getHostAddress(), socket.getLocalPort());
         }
@@ -106,8 +106,8 @@
                 credentials,
                 new ForwardDeployment.CallerLimits(8_192, 65_536)));
         server.offerConfig("test", Long.toString(version).getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        long until = System.nanoTime() + Duration.ofSeconds(20).toNanos();
-        while (server.version() < version && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + Duration.ofSeconds(20).toNanos();
+        while (server.version() < version && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
     }
@@ -134,17 +134,17 @@
 
     /** Publishes one more target, which is avoided as long as it says that it is cold. */
     void publish(String id, ServiceName service, RawTarget target, long coldMs) {
-        targets.add(entry(id, service, target.address(), false, coldMs));
+        targets.add(target(id, service, target.address(), false, coldMs));
         server.directory().published(Targets.list(targets));
     }
 
-    private static ForwardTarget entry(String id, ServiceName service, Address address, boolean leaving, long coldMs) {
+    private static ForwardTarget target(String id, ServiceName service, Address address, boolean leaving, long coldMs) {
         return new ForwardTarget(new TargetId(id), 1, service, address, new FailureDomain("here"), 4, leaving, coldMs);
     }
 
     /** Publishes that a target leaves. */
     void leave(String id) {
-        targets.replaceAll(t -> t.id().value().equals(id) ? entry(id, t.service(), t.address(), true, 0) : t);
+        targets.replaceAll(t -> t.id().value().equals(id) ? target(id, t.service(), t.address(), true, 0) : t);
         server.directory().published(Targets.list(targets));
     }
 
--- a/forward/src/test/java/org/verbenatally/forward/ForwardProtocolTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardProtocolTest.java
@@ -50,14 +50,14 @@
                 "Transfer-Encoding: xchunked\r\n",
                 "Transfer-Encoding: chunked, identity\r\n"
             })
-    void hiddenRequestDoesNotRun(String framing) throws Exception {
+    void smuggledRequestIsNotRun(String framing) throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "outer", framing) + "0\r\n\r\n" + head("GET", "hidden", ""));
-            String answer = caller.read("hidden;");
-            assertThat(answer).doesNotContain("hidden;");
+            String response = caller.read("hidden;");
+            assertThat(response).doesNotContain("hidden;");
         }
         assertThat(target.requests())
-                .noneMatch(seen -> RawTarget.header(seen, TestCodec.ID).equals("hidden"));
+                .noneMatch(head -> RawTarget.header(head, TestCodec.ID).equals("hidden"));
     }
 
     /** Guards against a body whose length a target reads in another way than the instance. */
@@ -67,7 +67,7 @@
                 "Content-Length: 50\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: chunked\r\nContent-Length: 50\r\n"
             })
-    void lengthBesideChunksIsNotPassedOn(String framing) throws Exception {
+    void contentLengthBesideChunkedIsNotForwarded(String framing) throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "outer", framing) + "3\r\nabc\r\n0\r\n\r\n" + head("GET", "next", ""));
             assertThat(caller.read("next;")).contains("outer;").endsWith("next;");
@@ -81,7 +81,7 @@
     /** Guards against chunk sizes that two parsers read differently. */
     @ParameterizedTest
     @ValueSource(strings = {"0x3", "-3", "+3", "zz"})
-    void oddChunkSizesAreRejected(String size) throws Exception {
+    void malformedChunkSizesAreRejected(String size) throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "outer", "Transfer-Encoding: chunked\r\n") + size + "\r\nabc\r\n0\r\n\r\n");
             assertThat(caller.read("outer;")).doesNotContain("outer;");
@@ -91,19 +91,19 @@
 
     /** Guards against answers that change places when a caller does not wait between its requests. */
     @Test
-    void answersKeepTheOrderOfTheirRequests() throws Exception {
+    void pipelinedResponsesKeepRequestOrder() throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("GET", "one", "") + head("POST", "two", "Transfer-Encoding: chunked\r\n")
                     + "3\r\nabc\r\n0\r\n\r\n" + head("GET", "three", ""));
-            String answers = caller.read("three;");
-            assertThat(answers.indexOf("one;")).isPositive().isLessThan(answers.indexOf("two;"));
-            assertThat(answers).endsWith("three;");
+            String responses = caller.read("three;");
+            assertThat(responses.indexOf("one;")).isPositive().isLessThan(responses.indexOf("two;"));
+            assertThat(responses).endsWith("three;");
         }
     }
 
     /** Guards against a request that is forwarded although its caller broke it off. */
     @Test
-    void halfARequestDoesNotRun() throws Exception {
+    void truncatedRequestIsNotForwarded() throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "half", "Content-Length: 10\r\n") + "12345");
         }
