--- a/forward/src/test/java/org/verbenatally/forward/ForwardServerTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardServerTest.java
@@ -34,7 +34,7 @@
                 + framing + "\r\n";
     }
 
-    private static String whole(String request, String body) {
+    private static String fixedLength(String request, String body) {
         return head(request, "Content-Length: " + body.length() + "\r\n") + body;
     }
 
@@ -72,23 +72,23 @@
 
     /** Guards against a request, or an answer, that changes on its way. */
     @Test
-    void forwardsUnchanged() throws Exception {
+    void forwardsRequestAndResponseUnchanged() throws Exception {
         try (var target = new RawTarget((head, out, socket) -> {
-            RawTarget.write(out, whole(head, "answer"));
+            RawTarget.write(out, fixedLength(head, "answer"));
             return true;
         })) {
             fixture.configure(1, "secret");
             fixture.publish("a", CALLS, target);
-            var answer = fixture.send(fixture.request("/repeat/some%20path?q=1&r", "r1")
+            var response = fixture.send(fixture.request("/repeat/some%20path?q=1&r", "r1")
                     .header(TestCodec.KEY, "secret")
                     .build());
-            assertThat(answer.statusCode()).isEqualTo(200);
-            assertThat(answer.body()).isEqualTo("answer");
-            String seen = target.requests().getFirst();
-            assertThat(seen).startsWith("GET /repeat/some%20path?q=1&r HTTP/1.1\r\n");
-            assertThat(RawTarget.header(seen, TestCodec.ORGANISATION)).isEqualTo("org-secret");
-            assertThat(RawTarget.header(seen, TestCodec.TARGET)).isEqualTo("a");
-            assertThat(RawTarget.header(seen, TestCodec.KEY)).isEmpty();
+            assertThat(response.statusCode()).isEqualTo(200);
+            assertThat(response.body()).isEqualTo("answer");
+            String head = target.requests().getFirst();
+            assertThat(head).startsWith("GET /repeat/some%20path?q=1&r HTTP/1.1\r\n");
+            assertThat(RawTarget.header(head, TestCodec.ORGANISATION)).isEqualTo("org-secret");
+            assertThat(RawTarget.header(head, TestCodec.TARGET)).isEqualTo("a");
+            assertThat(RawTarget.header(head, TestCodec.KEY)).isEmpty();
         }
     }
 
@@ -105,7 +105,7 @@
     @Test
     void dropsRevokedKeys() throws Exception {
         try (var target = new RawTarget((head, out, socket) -> {
-            RawTarget.write(out, whole(head, "answer"));
+            RawTarget.write(out, fixedLength(head, "answer"));
             return true;
         })) {
             fixture.configure(1, "old", "kept");
@@ -118,7 +118,7 @@
 
     /** Guards against an answer without a length that looks whole although its connection was reset. */
     @Test
-    void resetAnswerWithoutLengthIsNotWhole() throws Exception {
+    void resetResponseWithoutLengthIsIncomplete() throws Exception {
         AtomicInteger resets = new AtomicInteger();
         try (var target = new RawTarget((head, out, socket) -> {
             RawTarget.write(out, head(head, "") + "half of the");
@@ -136,33 +136,33 @@
 
     /** Guards against a good answer that is taken for a broken one because it ends with its connection. */
     @Test
-    void answerMayEndWithItsConnection() throws Exception {
+    void responseMayEndWithItsConnection() throws Exception {
         try (var target = new RawTarget((head, out, socket) -> {
             RawTarget.write(out, head(head, "") + "all of it");
             return false;
         })) {
             fixture.configure(1);
             fixture.publish("a", CALLS, target);
-            var answer = post("/once/x", "r1");
-            assertThat(answer.statusCode()).isEqualTo(200);
-            assertThat(answer.body()).isEqualTo("all of it");
+            var response = post("/once/x", "r1");
+            assertThat(response.statusCode()).isEqualTo(200);
+            assertThat(response.body()).isEqualTo("all of it");
         }
     }
 
     /** Guards against an extra answer that reaches the next request of its connection. */
     @Test
-    void extraAnswerReachesNobody() throws Exception {
+    void extraResponseIsDiscarded() throws Exception {
         try (var target = new RawTarget((head, out, socket) -> {
-            RawTarget.write(out, whole(head, "answer") + whole(head, "extra"));
+            RawTarget.write(out, fixedLength(head, "answer") + fixedLength(head, "extra"));
             return true;
         })) {
             fixture.configure(1);
             fixture.publish("a", CALLS, target);
             for (int i = 0; i < 10; i++) {
-                var answer = get("/repeat/x", "r" + i);
-                assertThat(answer.statusCode() == 200 ? answer.body() : "answer")
+                var response = get("/repeat/x", "r" + i);
+                assertThat(response.statusCode() == 200 ? response.body() : "answer")
                         .isEqualTo("answer");
-                assertThat(answer.headers().firstValue(TestCodec.ID).orElse("r" + i))
+                assertThat(response.headers().firstValue(TestCodec.ID).orElse("r" + i))
                         .isEqualTo("r" + i);
             }
         }
@@ -170,14 +170,14 @@
 
     /** Guards against a second run of a request that must run at most once, and against the promise that it has not. */
     @Test
-    void lostAnswerIsNotRepeated() throws Exception {
+    void lostResponseIsRetriedOnlyIfIdempotent() throws Exception {
         AtomicInteger runs = new AtomicInteger();
-        RawTarget.Script losing = (head, out, socket) -> {
+        RawTarget.Script losingResponse = (head, out, socket) -> {
             runs.incrementAndGet();
             return false;
         };
-        try (var one = new RawTarget(losing);
-                var other = new RawTarget(losing)) {
+        try (var one = new RawTarget(losingResponse);
+                var other = new RawTarget(losingResponse)) {
             fixture.configure(1);
             fixture.publish("a", CALLS, one);
             fixture.publish("b", CALLS, other);
@@ -191,13 +191,13 @@
 
     /** Guards against a refusal by one target that reaches the caller while another is free. */
     @Test
-    void refusedWorkGoesToAnotherTarget() throws Exception {
+    void refusedRequestIsSentToAnotherTarget() throws Exception {
         try (var full = new RawTarget((head, out, socket) -> {
                     RawTarget.write(out, "HTTP/1.1 503 Full\r\nTest-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
                     return true;
                 });
                 var free = new RawTarget((head, out, socket) -> {
-                    RawTarget.write(out, whole(head, "answer"));
+                    RawTarget.write(out, fixedLength(head, "answer"));
                     return true;
                 })) {
             fixture.configure(1);
@@ -213,29 +213,29 @@
 
     /** Guards against memory that runs out because long answers are held, and a cut one that looks whole. */
     @Test
-    void longAnswerIsPassedOnAsItArrives() throws Exception {
-        String part = "x".repeat(400_000);
-        java.util.concurrent.Semaphore passed = new java.util.concurrent.Semaphore(0);
+    void longResponseIsStreamed() throws Exception {
+        String half = "x".repeat(400_000);
+        java.util.concurrent.Semaphore beginningRead = new java.util.concurrent.Semaphore(0);
         try (var target = new RawTarget((head, out, socket) -> {
-            RawTarget.write(out, head(head, "Content-Length: 800000\r\n") + part);
+            RawTarget.write(out, head(head, "Content-Length: 800000\r\n") + half);
             // A reset discards what has not been read yet, so the caller must have got the beginning before.
-            passed.acquire();
+            beginningRead.acquire();
             if (head.contains("/cut")) {
                 RawTarget.reset(socket);
                 return false;
             }
-            RawTarget.write(out, part);
+            RawTarget.write(out, half);
             return true;
         })) {
             fixture.configure(1);
             fixture.publish("a", CALLS, target);
-            var answer = fixture.open(fixture.request("/once/x", "r1").build());
-            assertThat(answer.body().readNBytes(300_000)).hasSize(300_000);
-            passed.release();
-            assertThat(answer.body().readAllBytes()).hasSize(500_000);
+            var response = fixture.open(fixture.request("/once/x", "r1").build());
+            assertThat(response.body().readNBytes(300_000)).hasSize(300_000);
+            beginningRead.release();
+            assertThat(response.body().readAllBytes()).hasSize(500_000);
             var cut = fixture.open(fixture.request("/once/cut", "r2").build());
             assertThat(cut.body().readNBytes(300_000)).hasSize(300_000);
-            passed.release();
+            beginningRead.release();
             assertThatThrownBy(() -> cut.body().readAllBytes()).isInstanceOf(java.io.IOException.class);
         }
     }
@@ -250,7 +250,7 @@
         assertThat(fixture.send(body.build()).statusCode()).isEqualTo(413);
     }
 
-    private static RawTarget holder() throws Exception {
+    private static RawTarget copyHolder() throws Exception {
         return new RawTarget((head, out, socket) -> {
             if (RawTarget.header(head, TestCodec.COPY).isEmpty()) {
                 RawTarget.write(out, head(head, "Transfer-Encoding: chunked\r\n"));
@@ -276,17 +276,17 @@
             return false;
         };
         try (var engine = new RawTarget(dying);
-                var holder = holder()) {
+                var copyHolder = copyHolder()) {
             fixture.configure(1);
             fixture.publish("dying", ENGINES, engine);
-            fixture.publish("holder", ENGINES, holder, 10_000);
+            fixture.publish("holder", ENGINES, copyHolder, 10_000);
             assertThat(generate("r1").join().body()).isEqualTo(events(1, 10));
         }
     }
 
     /** Guards against an engine that is stalled and keeps its generation by a byte now and then. */
     @Test
-    void generationContinuesWhenItsEngineSendsNoWholeEvent() throws Exception {
+    void generationContinuesWhenItsEngineSendsNoCompleteEvent() throws Exception {
         RawTarget.Script stalled = (head, out, socket) -> {
             RawTarget.write(out, head(head, "Transfer-Encoding: chunked\r\n"));
             chunk(out, events(1, 4) + "id: 5\ndata: ");
@@ -297,38 +297,38 @@
             return false;
         };
         try (var engine = new RawTarget(stalled);
-                var holder = holder()) {
+                var copyHolder = copyHolder()) {
             fixture.configure(1);
             fixture.publish("stalled", ENGINES, engine);
-            fixture.publish("holder", ENGINES, holder, 10_000);
+            fixture.publish("holder", ENGINES, copyHolder, 10_000);
             assertThat(generate("r1").join().body()).isEqualTo(events(1, 10));
         }
     }
 
     /** Guards against a generation that is cut off because its engine leaves. */
     @Test
-    void generationMovesWhenItsEngineLeaves() throws Exception {
-        CompletableFuture<Void> begun = new CompletableFuture<>();
+    void generationMigratesWhenItsEngineLeaves() throws Exception {
+        CompletableFuture<Void> started = new CompletableFuture<>();
         RawTarget.Script endless = (head, out, socket) -> {
             if (head.startsWith("POST /copy")) {
-                RawTarget.write(out, whole(head, "copy-1"));
+                RawTarget.write(out, fixedLength(head, "copy-1"));
                 return true;
             }
             RawTarget.write(out, head(head, "Transfer-Encoding: chunked\r\n"));
             chunk(out, events(1, 4));
-            begun.complete(null);
+            started.complete(null);
             Thread.sleep(100_000);
             return false;
         };
         try (var engine = new RawTarget(endless);
-                var holder = holder()) {
+                var copyHolder = copyHolder()) {
             fixture.configure(1);
             fixture.publish("leaving", ENGINES, engine);
-            CompletableFuture<HttpResponse<String>> answer = generate("r1");
-            begun.get(10, java.util.concurrent.TimeUnit.SECONDS);
-            fixture.publish("holder", ENGINES, holder);
+            CompletableFuture<HttpResponse<String>> response = generate("r1");
+            started.get(10, java.util.concurrent.TimeUnit.SECONDS);
+            fixture.publish("holder", ENGINES, copyHolder);
             fixture.leave("leaving");
-            assertThat(answer.get(10, java.util.concurrent.TimeUnit.SECONDS).body())
+            assertThat(response.get(10, java.util.concurrent.TimeUnit.SECONDS).body())
                     .isEqualTo(events(1, 10));
             awaitNoLoad();
         }
@@ -337,30 +337,30 @@
     /** Guards against copies that wait for each other while some of them are of generations that are about to end. */
     @Test
     void generationAboutToEndIsNotCopied() throws Exception {
-        CompletableFuture<Void> begun = new CompletableFuture<>();
-        CompletableFuture<Void> left = new CompletableFuture<>();
+        CompletableFuture<Void> started = new CompletableFuture<>();
+        CompletableFuture<Void> leavingPublished = new CompletableFuture<>();
         RawTarget.Script ending = (head, out, socket) -> {
             RawTarget.write(out, head(head, "Transfer-Encoding: chunked\r\n"));
             // The caller asks for 400 tokens at most, so 200 are expected.
             chunk(out, events(1, 150));
-            begun.complete(null);
-            left.join();
+            started.complete(null);
+            leavingPublished.join();
             Thread.sleep(300);
             chunk(out, events(151, 160));
             RawTarget.write(out, "0\r\n\r\n");
             return true;
         };
         try (var engine = new RawTarget(ending);
-                var other = holder()) {
+                var other = copyHolder()) {
             fixture.configure(1);
             fixture.publish("leaving", ENGINES, engine);
-            CompletableFuture<HttpResponse<String>> answer = generate("r1");
-            begun.get(20, java.util.concurrent.TimeUnit.SECONDS);
+            CompletableFuture<HttpResponse<String>> response = generate("r1");
+            started.get(20, java.util.concurrent.TimeUnit.SECONDS);
             fixture.publish("other", ENGINES, other);
             awaitTokens(100 + 150);
             fixture.leave("leaving");
-            left.complete(null);
-            assertThat(answer.get(20, java.util.concurrent.TimeUnit.SECONDS).body())
+            leavingPublished.complete(null);
+            assertThat(response.get(20, java.util.concurrent.TimeUnit.SECONDS).body())
                     .isEqualTo(events(1, 160));
             assertThat(engine.requests()).noneMatch(head -> head.startsWith("POST /copy"));
         }
@@ -368,14 +368,14 @@
 
     /** Guards against a copy that stays booked, and makes its engine look full, because the generation ended first. */
     @Test
-    void unusedCopyIsNotBookedForEver() throws Exception {
+    void unusedCopyReservationIsReleased() throws Exception {
         CompletableFuture<Void> copying = new CompletableFuture<>();
         CompletableFuture<Void> ended = new CompletableFuture<>();
         RawTarget.Script ending = (head, out, socket) -> {
             if (head.startsWith("POST /copy")) {
                 copying.complete(null);
                 ended.join();
-                RawTarget.write(out, whole(head, "copy-1"));
+                RawTarget.write(out, fixedLength(head, "copy-1"));
                 return true;
             }
             RawTarget.write(out, head(head, "Transfer-Encoding: chunked\r\n"));
@@ -385,16 +385,16 @@
             return true;
         };
         try (var engine = new RawTarget(ending);
-                var other = holder()) {
+                var other = copyHolder()) {
             fixture.configure(1);
             fixture.publish("leaving", ENGINES, engine);
-            CompletableFuture<HttpResponse<String>> answer = generate("r1");
+            CompletableFuture<HttpResponse<String>> response = generate("r1");
             while (engine.requests().isEmpty()) {
                 Thread.sleep(5);
             }
             fixture.publish("other", ENGINES, other);
             fixture.leave("leaving");
-            assertThat(answer.get(20, java.util.concurrent.TimeUnit.SECONDS).body())
+            assertThat(response.get(20, java.util.concurrent.TimeUnit.SECONDS).body())
                     .isEqualTo(events(1, 4));
             ended.complete(null);
             awaitNoLoad();
@@ -403,16 +403,16 @@
 
     /** Waits until the instance has seen so many tokens of its only generation, the prompt included. */
     private void awaitTokens(long tokens) throws InterruptedException {
-        long until = System.nanoTime() + java.time.Duration.ofSeconds(10).toNanos();
-        while (fixture.server.directory().ownLoads().getFirst().getTokens() < tokens && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + java.time.Duration.ofSeconds(10).toNanos();
+        while (fixture.server.directory().ownLoads().getFirst().getTokens() < tokens && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
         assertThat(fixture.server.directory().ownLoads().getFirst().getTokens()).isGreaterThanOrEqualTo(tokens);
     }
 
     private void awaitNoLoad() throws InterruptedException {
-        long until = System.nanoTime() + java.time.Duration.ofSeconds(10).toNanos();
-        while (!fixture.server.directory().ownLoads().isEmpty() && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + java.time.Duration.ofSeconds(10).toNanos();
+        while (!fixture.server.directory().ownLoads().isEmpty() && System.nanoTime() < deadline) {
             Thread.sleep(10);
         }
         assertThat(fixture.server.directory().ownLoads()).isEmpty();
--- a/forward/src/test/java/org/verbenatally/forward/RawCaller.java
+++ b/forward/src/test/java/org/verbenatally/forward/RawCaller.java
@@ -11,13 +11,13 @@
 
 /** A caller whose requests are written byte by byte, so that they can be wrong in any way. */
 final class RawCaller implements AutoCloseable {
-    private static final Duration PATIENCE = Duration.ofSeconds(2);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(2);
 
     private final Socket socket;
 
     RawCaller(Address address) throws IOException {
         socket = new Socket(address.host(), address.port());
-        socket.setSoTimeout((int) PATIENCE.toMillis());
+        socket.setSoTimeout((int) READ_TIMEOUT.toMillis());
     }
 
     void write(String text) throws IOException {
@@ -26,21 +26,21 @@
     }
 
     /** Reads until the given text has arrived, or the connection has ended. */
-    String read(String last) throws IOException {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
+    String read(String end) throws IOException {
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
         try {
-            int b = socket.getInputStream().read();
-            while (b >= 0) {
-                all.write(b);
-                if (all.toString(StandardCharsets.ISO_8859_1).endsWith(last)) {
+            int next = socket.getInputStream().read();
+            while (next >= 0) {
+                received.write(next);
+                if (received.toString(StandardCharsets.ISO_8859_1).endsWith(end)) {
                     break;
                 }
-                b = socket.getInputStream().read();
+                next = socket.getInputStream().read();
             }
         } catch (SocketTimeoutException e) {
-            all.writeBytes("(nothing more in time)".getBytes(StandardCharsets.ISO_8859_1));
+            received.writeBytes("(nothing more in time)".getBytes(StandardCharsets.ISO_8859_1));
         }
-        return all.toString(StandardCharsets.ISO_8859_1);
+        return received.toString(StandardCharsets.ISO_8859_1);
     }
 
     @Override
--- a/forward/src/test/java/org/verbenatally/forward/RawTarget.java
+++ b/forward/src/test/java/org/verbenatally/forward/RawTarget.java
@@ -54,7 +54,7 @@
     private void serve(Socket socket) {
         try (socket) {
             while (true) {
-                String head = head(socket.getInputStream());
+                String head = readHead(socket.getInputStream());
                 if (head.isEmpty()) {
                     return;
                 }
@@ -71,14 +71,14 @@
     }
 
     /** Reads a head and skips the body that its length announces. */
-    private static String head(InputStream in) throws IOException {
+    private static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         while (head.indexOf("\r\n\r\n") < 0) {
-            int b = in.read();
-            if (b < 0) {
+            int next = in.read();
+            if (next < 0) {
                 return "";
             }
-            head.append((char) b);
+            head.append((char) next);
         }
         for (String line : head.toString().split("\r\n")) {
             if (line.toLowerCase(java.util.Locale.ROOT).startsWith("content-length:")) {
--- a/forward/src/test/java/org/verbenatally/forward/ReadPaceTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ReadPaceTest.java
@@ -20,7 +20,7 @@
     void fleetReadsAtAConstantRate(int members) {
         double reads = 0;
         for (int i = 0; i < members; i++) {
-            reads += 1e9 / pace.pause(members, FRESH).toNanos();
+            reads += 1e9 / pace.nextPause(members, FRESH).toNanos();
         }
         assertThat(reads).isBetween(8.0, 12.0);
         assertThat(members * 1e9 / pace.watch(members).toNanos()).isLessThanOrEqualTo(11);
@@ -29,12 +29,12 @@
     /** Guards against an instance of which nobody tells anything, and that does not read for itself. */
     @ParameterizedTest
     @ValueSource(ints = {1, 95})
-    void loneInstanceReadsEachSecond(int members) {
-        assertThat(pace.leastPause()).isLessThanOrEqualTo(Duration.ofSeconds(1));
-        assertThat(pace.untilStale(Optional.empty())).isZero();
-        assertThat(pace.untilStale(Optional.of(STALE.plusMillis(1)))).isZero();
-        assertThat(pace.untilStale(Optional.of(Duration.ofMillis(400)))).isEqualTo(Duration.ofMillis(600));
-        assertThat(pace.pause(members, Optional.empty())).isLessThanOrEqualTo(Duration.ofSeconds(2));
+    void instanceWithoutUpdatesReadsEachSecond(int members) {
+        assertThat(pace.minPause()).isLessThanOrEqualTo(Duration.ofSeconds(1));
+        assertThat(pace.timeUntilStale(Optional.empty())).isZero();
+        assertThat(pace.timeUntilStale(Optional.of(STALE.plusMillis(1)))).isZero();
+        assertThat(pace.timeUntilStale(Optional.of(Duration.ofMillis(400)))).isEqualTo(Duration.ofMillis(600));
+        assertThat(pace.nextPause(members, Optional.empty())).isLessThanOrEqualTo(Duration.ofSeconds(2));
     }
 
     /**
@@ -42,14 +42,14 @@
      * asking for what their peers tell them.
      */
     @Test
-    void instancesThatAreTurnedAwayKeepTheirShareWhileOthersAreServed() {
-        double tries = 0;
+    void rejectedInstancesKeepTheirReadRateWhileOthersSucceed() {
+        double reads = 0;
         for (int i = 0; i < 32; i++) {
-            tries += 1e9 / pace.pause(95, FRESH).toNanos();
+            reads += 1e9 / pace.nextPause(95, FRESH).toNanos();
         }
-        assertThat(tries).isLessThan(4);
-        Optional<Duration> old = Optional.of(STALE.plusMillis(1));
-        assertThat(pace.pause(95, old)).isLessThanOrEqualTo(Duration.ofSeconds(2));
+        assertThat(reads).isLessThan(4);
+        Optional<Duration> stale = Optional.of(STALE.plusMillis(1));
+        assertThat(pace.nextPause(95, stale)).isLessThanOrEqualTo(Duration.ofSeconds(2));
     }
 
     /**
@@ -57,7 +57,7 @@
      * Guards against a fleet in which each waits for its turn, and nobody reads the version for seconds.
      */
     @Test
-    void configurationIsAskedForAgainWithinASecond() {
+    void configurationIsRetriedWithinOneSecond() {
         for (int failures = 1; failures < 40; failures++) {
             assertThat(pace.retry(failures)).isBetween(Duration.ofMillis(100), Duration.ofSeconds(1));
         }
--- a/forward/src/test/java/org/verbenatally/forward/ReadTurnsTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ReadTurnsTest.java
@@ -18,9 +18,9 @@
 class ReadTurnsTest {
     private static final Duration STALE = Duration.ofMillis(2_400);
     private static final Duration STEP = Duration.ofMillis(50);
-    private static final int STEPS_OF_SECOND = 20;
+    private static final int STEPS_PER_SECOND = 20;
     private static final int SECONDS = 60;
-    private static final int NEIGHBOURS_DIALLED = 3;
+    private static final int NEIGHBOURS_PER_INSTANCE = 3;
 
     private final ManualTimer timer = new ManualTimer();
 
@@ -39,21 +39,21 @@
             return known.map(at -> Duration.ofNanos(timer.nanos() - at));
         }
 
-        void hear(Optional<Long> other) {
+        void receive(Optional<Long> other) {
             if (other.isPresent() && (known.isEmpty() || other.get() > known.get())) {
                 known = other;
             }
         }
 
         /** Reads if it is time to; returns whether it has. */
-        boolean step(int members, boolean up) {
+        boolean step(int members, boolean reachable) {
             if (timer.nanos() < restUntil) {
                 return false;
             }
             Duration rest = turns.rest(age());
             boolean read = rest.isZero();
             if (read) {
-                hear(up ? Optional.of(timer.nanos()) : Optional.empty());
+                receive(reachable ? Optional.of(timer.nanos()) : Optional.empty());
                 turns.tried(members, age());
                 rest = turns.rest(age());
             }
@@ -68,7 +68,7 @@
             fleet.add(new Instance(random));
         }
         for (Instance instance : fleet) {
-            for (int i = 0; i < NEIGHBOURS_DIALLED; i++) {
+            for (int i = 0; i < NEIGHBOURS_PER_INSTANCE; i++) {
                 Instance other = fleet.get(random.nextInt(members));
                 instance.neighbours.add(other);
                 other.neighbours.add(instance);
@@ -83,19 +83,19 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void fleetThatStartedTogetherDoesNotReadInStep(long seed) {
+    void fleetStartedTogetherDoesNotReadInUnison(long seed) {
         Random random = new Random(seed);
         List<Instance> fleet = fleet(95, random);
         int reads = 0;
-        for (int step = 0; step < SECONDS * STEPS_OF_SECOND; step++) {
+        for (int step = 0; step < SECONDS * STEPS_PER_SECOND; step++) {
             for (int i = 0; i < fleet.size(); i++) {
                 Instance instance = fleet.get(i);
                 boolean read = instance.step(fleet.size(), true);
-                if (read && step > 10 * STEPS_OF_SECOND) {
+                if (read && step > 10 * STEPS_PER_SECOND) {
                     reads++;
                 }
-                if (step % STEPS_OF_SECOND == i % STEPS_OF_SECOND) {
-                    instance.neighbours.forEach(n -> n.hear(instance.known));
+                if (step % STEPS_PER_SECOND == i % STEPS_PER_SECOND) {
+                    instance.neighbours.forEach(n -> n.receive(instance.known));
                 }
                 assertThat(instance.age())
                         .hasValueSatisfying(age -> assertThat(age).isLessThanOrEqualTo(STALE.plusSeconds(1)));
@@ -108,13 +108,13 @@
 
     /** Pattern: the source is down for all. Guards against an instance that asks each second, and one that gives up. */
     @Test
-    void sourceThatIsDownIsTriedEachTwoSeconds() {
+    void unreachableSourceIsReadEveryTwoSeconds() {
         Instance lone = new Instance(new Random(1));
-        int tries = 0;
-        for (int step = 0; step < SECONDS * STEPS_OF_SECOND; step++) {
-            tries += lone.step(95, false) ? 1 : 0;
+        int attempts = 0;
+        for (int step = 0; step < SECONDS * STEPS_PER_SECOND; step++) {
+            attempts += lone.step(95, false) ? 1 : 0;
             timer.advance(STEP);
         }
-        assertThat(tries).isBetween(SECONDS / 2, SECONDS);
+        assertThat(attempts).isBetween(SECONDS / 2, SECONDS);
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/RecentOutcomesTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/RecentOutcomesTest.java
@@ -11,13 +11,13 @@
     /** Guards against counts that depend on the origin of the steady clock, which may lie in the future. */
     @ParameterizedTest
     @ValueSource(longs = {-1_000_000, 0, 1_000_000})
-    void countsFadeWhereverTheClockBegan(long startSeconds) {
+    void countsDecayForAnyClockOrigin(long startSeconds) {
         long start = TimeUnit.SECONDS.toNanos(startSeconds);
         var outcomes = new RecentOutcomes();
         outcomes.add(true, start);
         outcomes.add(false, start);
         assertThat(outcomes.failures(start)).isEqualTo(1);
-        assertThat(outcomes.answers(start)).isEqualTo(2);
+        assertThat(outcomes.responses(start)).isEqualTo(2);
         assertThat(outcomes.failures(start + TimeUnit.SECONDS.toNanos(20))).isZero();
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/RepeatAllowanceTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/RepeatAllowanceTest.java
@@ -15,29 +15,29 @@
 
     /** Pattern: every request fails. Guards against instances that together repeat more than the rule allows. */
     @Test
-    void allInstancesTogetherKeepTheRule() {
+    void instancesTogetherStayWithinRule() {
         var rule = new RepeatAllowance.Rule(0.2, Duration.ofSeconds(10), 56);
-        int repeats = 0;
-        int firsts = 0;
+        int retries = 0;
+        int firstSends = 0;
         for (int instance = 0; instance < INSTANCES; instance++) {
             RepeatAllowance allowance = new RepeatAllowance(timer, rule, () -> INSTANCES);
             for (int i = 0; i < 40; i++) {
-                allowance.first(SERVICE);
-                firsts++;
-                repeats += allowance.tryRepeat(SERVICE) ? 1 : 0;
+                allowance.countFirstSend(SERVICE);
+                firstSends++;
+                retries += allowance.tryRetry(SERVICE) ? 1 : 0;
             }
         }
-        assertThat(repeats).isPositive().isLessThanOrEqualTo((int) (0.2 * firsts + 56));
+        assertThat(retries).isPositive().isLessThanOrEqualTo((int) (0.2 * firstSends + 56));
     }
 
     /** Guards against an allowance that does not come back. */
     @Test
-    void windowSlides() {
+    void retriesAreAllowedAgainAfterWindow() {
         var rule = new RepeatAllowance.Rule(0, Duration.ofSeconds(10), 2);
         RepeatAllowance allowance = new RepeatAllowance(timer, rule, () -> 1);
-        assertThat(allowance.tryRepeat(SERVICE)).isTrue();
-        assertThat(allowance.tryRepeat(SERVICE)).isFalse();
+        assertThat(allowance.tryRetry(SERVICE)).isTrue();
+        assertThat(allowance.tryRetry(SERVICE)).isFalse();
         timer.advance(Duration.ofSeconds(11));
-        assertThat(allowance.tryRepeat(SERVICE)).isTrue();
+        assertThat(allowance.tryRetry(SERVICE)).isTrue();
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
@@ -19,7 +19,7 @@
 
     /** Guards against a call that is taken shortly before the end of the process and cut off by it. */
     @Test
-    void lateCallsAreRefused() {
+    void callThatWouldOutliveProcessIsRefused() {
         shutdown.start();
         assertThat(acceptsCall()).isTrue();
         timer.advance(Duration.ofMillis(7_700));
@@ -28,14 +28,14 @@
 
     /** Guards against an end while a request is open, and against a request that is read just before the end. */
     @Test
-    void endsOnlyWhenNothingIsOpen() {
-        shutdown.begin();
+    void completesOnlyWhenNothingIsOpen() {
+        shutdown.onRequestStart();
         var done = shutdown.start();
         timer.advance(Duration.ofSeconds(4));
         shutdown.check();
         shutdown.check();
         assertThat(done).isNotDone();
-        shutdown.end();
+        shutdown.onRequestEnd();
         shutdown.check();
         assertThat(done).isNotDone();
         assertThat(acceptsCall()).isFalse();
@@ -45,8 +45,8 @@
 
     /** Guards against a process that outlives its grace period and is killed in the middle of a write. */
     @Test
-    void endsBeforeTheGracePeriodIsOver() {
-        shutdown.begin();
+    void completesBeforeGracePeriodEnds() {
+        shutdown.onRequestStart();
         var done = shutdown.start();
         timer.advance(Duration.ofMillis(7_800));
         shutdown.check();
--- a/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
@@ -34,30 +34,30 @@
         directory.published(Targets.list(List.of(targets)));
     }
 
-    private TargetRow row(String id) {
+    private TargetState state(String id) {
         return directory.candidates(SERVICE).stream()
                 .filter(r -> r.target().id().value().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
-    private static List<Flight> load(TargetRow row, int generations) {
-        List<Flight> flights = new ArrayList<>();
+    private static List<InFlightRequest> load(TargetState state, int generations) {
+        List<InFlightRequest> inFlight = new ArrayList<>();
         for (int i = 0; i < generations; i++) {
-            flights.add(new Flight("r" + i, new Fingerprint(i, i), row, null, GUIDE, () -> {}));
+            inFlight.add(new InFlightRequest("r" + i, new Fingerprint(i, i), state, null, GUIDE, () -> {}));
         }
-        return flights;
+        return inFlight;
     }
 
     /** Pattern: a burst of long prompts. Guards against a line of prompts at one engine while others read nothing. */
     @Test
-    void burstOfPromptsIsSpread() {
+    void burstOfPromptsIsDistributed() {
         publish(Targets.ready("a"), Targets.ready("b"), Targets.in("far", "c"), Targets.in("far", "d"));
         Map<String, Integer> chosen = new HashMap<>();
         for (int i = 0; i < 8; i++) {
-            TargetRow row = chooser.engine(ENGINES, GUIDE, Set.of()).orElseThrow();
-            load(row, 1);
-            chosen.merge(row.target().id().value(), 1, Integer::sum);
+            TargetState state = chooser.chooseEngine(ENGINES, GUIDE, Set.of()).orElseThrow();
+            load(state, 1);
+            chosen.merge(state.target().id().value(), 1, Integer::sum);
         }
         assertThat(chosen).containsOnlyKeys("a", "b", "c", "d");
         assertThat(chosen.values()).allMatch(n -> n == 2);
@@ -67,73 +67,77 @@
     @Test
     void fullEngineIsAvoided() {
         publish(Targets.ready("full"), Targets.in("far", "empty"));
-        load(row("full"), 9).forEach(f -> f.made(1));
+        load(state("full"), 9).forEach(f -> f.setGenerated(1));
         for (int i = 0; i < 5; i++) {
-            TargetRow row = chooser.engine(ENGINES, GUIDE, Set.of()).orElseThrow();
-            assertThat(row.target().id().value()).isEqualTo("empty");
+            TargetState state = chooser.chooseEngine(ENGINES, GUIDE, Set.of()).orElseThrow();
+            assertThat(state.target().id().value()).isEqualTo("empty");
         }
     }
 
     /** Pattern: engines taken away one after another. Guards against a fleet too full to take what has to move. */
     @Test
-    void memoryOfOneEngineIsKeptFreeWhileEnginesLeave() {
+    void newWorkLeavesMemoryOfOneEngineFreeWhileEnginesLeave() {
         publish(Targets.ready("a"), Targets.ready("b"), Targets.ready("c"), Targets.ready("d"));
-        double calm = chooser.newWorkShare(SERVICE);
+        double withoutLeaving = chooser.newWorkMemoryShare(SERVICE);
         publish(Targets.ready("a"), Targets.ready("b"), Targets.ready("c"), Targets.leaving("d"));
-        double leaving = chooser.newWorkShare(SERVICE);
+        double leaving = chooser.newWorkMemoryShare(SERVICE);
         assertThat(leaving * 3).isLessThanOrEqualTo(2.0 + 1e-9).isGreaterThan(1.5);
         timer.advance(Duration.ofSeconds(11));
-        assertThat(chooser.newWorkShare(SERVICE)).isEqualTo(calm);
+        assertThat(chooser.newWorkMemoryShare(SERVICE)).isEqualTo(withoutLeaving);
     }
 
     /** Pattern: as above, beyond capacity. Guards against waiting work that takes the room of what has to move. */
     @Test
-    void waitingWorkStaysWithinMemoryWhileEnginesLeave() {
+    void fillingWorkStaysWithinMemoryWhileEnginesLeave() {
         publish(Targets.ready("a"), Targets.ready("b"));
-        assertThat(chooser.fillingShare(SERVICE)).isGreaterThan(1);
+        assertThat(chooser.fillingMemoryShare(SERVICE)).isGreaterThan(1);
         publish(Targets.ready("a"), Targets.leaving("b"));
-        assertThat(chooser.fillingShare(SERVICE)).isLessThanOrEqualTo(1);
+        assertThat(chooser.fillingMemoryShare(SERVICE)).isLessThanOrEqualTo(1);
     }
 
     /** Pattern: memory nearly full. Guards against standing copies that push out generations. */
     @Test
-    void standingCopiesNeedAmpleMemory() {
+    void backupsNeedAmpleMemory() {
         publish(Targets.ready("source"), Targets.ready("other"));
-        assertThat(chooser.copyHolder(ENGINES, GUIDE, row("source"), TargetChooser.STANDING_COPIES, Set.of()))
-                .contains(row("other"));
-        load(row("other"), 6);
-        assertThat(chooser.copyHolder(ENGINES, GUIDE, row("source"), TargetChooser.STANDING_COPIES, Set.of()))
+        assertThat(chooser.chooseCopyHolder(
+                        ENGINES, GUIDE, state("source"), TargetChooser.BACKUP_MEMORY_SHARE, Set.of()))
+                .contains(state("other"));
+        load(state("other"), 6);
+        assertThat(chooser.chooseCopyHolder(
+                        ENGINES, GUIDE, state("source"), TargetChooser.BACKUP_MEMORY_SHARE, Set.of()))
                 .isEmpty();
-        assertThat(chooser.copyHolder(ENGINES, GUIDE, row("source"), TargetChooser.PLANNED_MEMORY, Set.of()))
-                .contains(row("other"));
+        assertThat(chooser.chooseCopyHolder(
+                        ENGINES, GUIDE, state("source"), TargetChooser.PLANNED_MEMORY_SHARE, Set.of()))
+                .contains(state("other"));
     }
 
     /** Pattern: copies on short notice. Guards against copies over the slow links between failure domains. */
     @Test
-    void copiesStayInTheFailureDomainOfTheirSource() {
+    void copyHolderIsInFailureDomainOfSource() {
         publish(Targets.in("far", "source"), Targets.in("far", "near"), Targets.ready("a"), Targets.ready("b"));
-        load(row("near"), 3);
-        assertThat(chooser.copyHolder(ENGINES, GUIDE, row("source"), TargetChooser.PLANNED_MEMORY, Set.of()))
-                .contains(row("near"));
+        load(state("near"), 3);
+        assertThat(chooser.chooseCopyHolder(
+                        ENGINES, GUIDE, state("source"), TargetChooser.PLANNED_MEMORY_SHARE, Set.of()))
+                .contains(state("near"));
     }
 
     /** Pattern: a target that fails part of its requests though its health is good. */
     @Test
-    void failingTargetGetsLittle() {
+    void failingTargetIsAvoidedUntilFailuresDecay() {
         publish(Targets.ready("good"), Targets.ready("bad"), Targets.ready("fair"));
         for (int i = 0; i < 20; i++) {
-            row("bad").answered(i % 2 == 0, timer.nanos());
+            state("bad").recordOutcome(i % 2 == 0, timer.nanos());
         }
         int bad = 0;
         for (int i = 0; i < 100; i++) {
-            TargetRow row = chooser.service(SERVICE, Set.of()).orElseThrow();
-            bad += row.target().id().value().equals("bad") ? 1 : 0;
+            TargetState state = chooser.chooseTarget(SERVICE, Set.of()).orElseThrow();
+            bad += state.target().id().value().equals("bad") ? 1 : 0;
         }
         assertThat(bad).isZero();
         timer.advance(Duration.ofSeconds(60));
         Set<String> later = new java.util.HashSet<>();
         for (int i = 0; i < 100; i++) {
-            later.add(chooser.service(SERVICE, Set.of())
+            later.add(chooser.chooseTarget(SERVICE, Set.of())
                     .orElseThrow()
                     .target()
                     .id()
@@ -147,7 +151,7 @@
      * seconds. Guards against each instance finding that out by itself.
      */
     @Test
-    void failuresThatOthersHaveSeenCount() {
+    void failuresReportedByPeersCount() {
         publish(
                 Targets.ready("good-1"),
                 Targets.ready("good-2"),
@@ -156,31 +160,31 @@
                 Targets.ready("failing"));
         for (int i = 0; i < 20; i++) {
             var seen = new TargetLoad("failing", 0, 0).setFailures(1).setAnswers(2);
-            directory.peerLoads(new InstanceId("peer-" + i), List.of(seen));
+            directory.updatePeerLoads(new InstanceId("peer-" + i), List.of(seen));
         }
         for (int i = 0; i < 50; i++) {
-            TargetRow row = chooser.service(SERVICE, Set.of()).orElseThrow();
-            assertThat(row.target().id().value()).startsWith("good");
+            TargetState state = chooser.chooseTarget(SERVICE, Set.of()).orElseThrow();
+            assertThat(state.target().id().value()).startsWith("good");
         }
         for (int i = 0; i < 20; i++) {
-            directory.peerLoads(new InstanceId("peer-" + i), List.of());
+            directory.updatePeerLoads(new InstanceId("peer-" + i), List.of());
         }
-        assertThat(row("failing").failureShare(timer.nanos())).isZero();
+        assertThat(state("failing").failureShare(timer.nanos())).isZero();
     }
 
     /** Guards against a target that is avoided for ever, and against failures that the others are not told of. */
     @Test
-    void ownFailuresAreStatedUntilTheyFade() {
+    void ownFailuresAreReportedUntilTheyDecay() {
         publish(Targets.ready("a"));
-        row("a").answered(true, timer.nanos());
-        row("a").answered(false, timer.nanos());
+        state("a").recordOutcome(true, timer.nanos());
+        state("a").recordOutcome(false, timer.nanos());
         assertThat(directory.ownLoads()).singleElement().satisfies(load -> {
             assertThat(load.getFailures()).isEqualTo(1);
             assertThat(load.getAnswers()).isEqualTo(2);
         });
-        assertThat(row("a").failureShare(timer.nanos())).isBetween(0.05, 0.2);
+        assertThat(state("a").failureShare(timer.nanos())).isBetween(0.05, 0.2);
         timer.advance(Duration.ofSeconds(20));
         assertThat(directory.ownLoads()).isEmpty();
-        assertThat(row("a").failureShare(timer.nanos())).isZero();
+        assertThat(state("a").failureShare(timer.nanos())).isZero();
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/Targets.java
+++ b/forward/src/test/java/org/verbenatally/forward/Targets.java
@@ -26,18 +26,18 @@
     }
 
     static ForwardTarget ready(String id) {
-        return entry(id, "here", false);
+        return target(id, "here", false);
     }
 
     static ForwardTarget leaving(String id) {
-        return entry(id, "here", true);
+        return target(id, "here", true);
     }
 
     static ForwardTarget in(String domain, String id) {
-        return entry(id, domain, false);
+        return target(id, domain, false);
     }
 
-    private static ForwardTarget entry(String id, String domain, boolean leaving) {
+    private static ForwardTarget target(String id, String domain, boolean leaving) {
         return new ForwardTarget(
                 new TargetId(id),
                 1,
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public AnswerHead read(HttpClientResponse answer) {
+    public AnswerHead read(HttpClientResponse response) {
         return new AnswerHead(
-                answer.statusCode(),
-                answer.getHeader(NOT_RUN) != null,
-                Optional.ofNullable(answer.getHeader(ID)),
-                answer.getHeader(SIGNED) != null);
+                response.statusCode(),
+                response.getHeader(NOT_RUN) != null,
+                Optional.ofNullable(response.getHeader(ID)),
+                response.getHeader(SIGNED) != null);
     }
 
     @Override
