--- a/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
@@ -145,7 +145,7 @@
                 .orElseThrow(() -> new Rejected(CallerExchange.UNAVAILABLE, "route names an unknown service"));
         Duration patience =
                 head.patience().filter(p -> p.compareTo(route.timeout()) < 0).orElse(route.timeout());
-        if (!shutdown.accepts(route.repetition(), patience)) {
+        if (!shutdown.isAccepting(route.repetition(), patience)) {
             throw new Rejected(CallerExchange.UNAVAILABLE, "this instance is stopping");
         }
         Fingerprint fingerprint =
--- a/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
@@ -76,13 +76,13 @@
     }
 
     @Override
-    public void checkPublished(List<PublishedTarget> entries) {
-        entries.forEach(PublishedTargetCodec::decode);
+    public void checkPublished(List<PublishedTarget> published) {
+        published.forEach(PublishedTargetCodec::decode);
     }
 
     @Override
-    public void onPublished(List<PublishedTarget> entries) {
-        directory.applyUpdates(entries);
+    public void onPublished(List<PublishedTarget> published) {
+        directory.applyUpdates(published);
     }
 
     @Override
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -60,7 +60,7 @@
         this.options = Objects.requireNonNull(options, "options");
         this.vertx = Objects.requireNonNull(vertx, "vertx");
         this.timer = Objects.requireNonNull(timer, "timer");
-        this.directory = new TargetDirectory(timer, this::publishToPeers, this::loadsChanged);
+        this.directory = new TargetDirectory(timer, this::publishToPeers, this::reportLoadsChanged);
         this.suspects = new SuspectTable(timer);
         this.shutdown = new Shutdown(timer, options.grace());
         this.components = new ForwardComponents(
@@ -84,14 +84,14 @@
         metrics.registerGauge("verbenatally.members", this::liveMembers);
     }
 
-    private void publishToPeers(List<PublishedTarget> entries) {
+    private void publishToPeers(List<PublishedTarget> targets) {
         Peers<ForwardDeployment> p = peers;
         if (p != null) {
-            p.publish(entries);
+            p.publish(targets);
         }
     }
 
-    private void loadsChanged() {
+    private void reportLoadsChanged() {
         Peers<ForwardDeployment> p = peers;
         if (p != null) {
             p.loadsChanged();
--- a/forward/src/main/java/org/verbenatally/forward/InFlightRequest.java
+++ b/forward/src/main/java/org/verbenatally/forward/InFlightRequest.java
@@ -77,7 +77,7 @@
         promptUnread = false;
         generated = tokens;
         if (firstTokens) {
-            targetState.loadChanged(this);
+            targetState.reportLoadChange(this);
         }
     }
 
--- a/forward/src/main/java/org/verbenatally/forward/PublishedTargetCodec.java
+++ b/forward/src/main/java/org/verbenatally/forward/PublishedTargetCodec.java
@@ -35,9 +35,9 @@
      *
      * @throws IllegalArgumentException if a field is not valid; the message names it
      */
-    static Optional<ForwardTarget> decode(PublishedTarget entry) {
-        TargetId id = new TargetId(entry.getTarget());
-        return Optional.ofNullable(entry.getEntry())
+    static Optional<ForwardTarget> decode(PublishedTarget published) {
+        TargetId id = new TargetId(published.getTarget());
+        return Optional.ofNullable(published.getEntry())
                 .map(e -> new ForwardTarget(
                         id,
                         e.getStartedMs(),
--- a/forward/src/main/java/org/verbenatally/forward/Shutdown.java
+++ b/forward/src/main/java/org/verbenatally/forward/Shutdown.java
@@ -63,13 +63,13 @@
     }
 
     /**
-     * Returns whether a new request is accepted. During a shutdown, a call is accepted only if the process outlives it,
-     * whatever its target does; generations are accepted until the load balancer has noticed.
+     * Returns whether new requests of a kind are accepted. During a shutdown, a call is accepted only if the process
+     * outlives it, whatever its target does; generations are accepted until the load balancer has noticed.
      *
      * @param repetition kind of the request
      * @param patience longest time until its response
      */
-    boolean accepts(Repetition repetition, Duration patience) {
+    boolean isAccepting(Repetition repetition, Duration patience) {
         if (!stopping) {
             return true;
         }
--- a/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
@@ -63,7 +63,7 @@
         return count;
     }
 
-    /** Returns whether the generation can leave the engine now; if it has no copy, starts to make one. */
+    /** Returns whether the generation can leave the engine now. Starts to copy a long generation that has no copy. */
     boolean prepareToLeave(StreamSegment segment) {
         if (hasUsableBackup(segment.inFlight()) || migration.hasCopy()) {
             return true;
--- a/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
@@ -77,7 +77,7 @@
         listeners.forEach(Runnable::run);
     }
 
-    private void ownLoadChanged() {
+    private void onOwnLoadChanged() {
         onOwnLoadChange.run();
         notifyListeners();
     }
@@ -160,26 +160,26 @@
         return known ? Optional.of(Duration.ofNanos(timer.nanos() - knownAsOf)) : Optional.empty();
     }
 
-    private void updateTarget(ForwardTarget entry, long revision, long now, List<TargetState> leaving) {
-        TargetState state = states.get(entry.id());
+    private void updateTarget(ForwardTarget target, long revision, long now, List<TargetState> leaving) {
+        TargetState state = states.get(target.id());
         if (state != null && state.revision() >= revision) {
             return;
         }
         if (state == null) {
-            state = new TargetState(entry, revision, this::ownLoadChanged);
-            states.put(entry.id(), state);
+            state = new TargetState(target, revision, this::onOwnLoadChanged);
+            states.put(target.id(), state);
             applyPeerLoads(state);
             LogEvent.of("target.found")
-                    .with("target", entry.id())
-                    .with("service", entry.service())
-                    .with("domain", entry.failureDomain())
+                    .with("target", target.id())
+                    .with("service", target.service())
+                    .with("domain", target.failureDomain())
                     .info(LOG);
         }
         boolean wasLeaving = state.isLeaving();
-        state.publish(entry, revision);
-        if (!entry.leaving()) {
-            leavingSince.remove(entry.id());
-        } else if (!wasLeaving || !leavingSince.containsKey(entry.id())) {
+        state.publish(target, revision);
+        if (!target.leaving()) {
+            leavingSince.remove(target.id());
+        } else if (!wasLeaving || !leavingSince.containsKey(target.id())) {
             markLeaving(state, "draining", now, leaving);
         }
     }
--- a/forward/src/main/java/org/verbenatally/forward/TargetState.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetState.java
@@ -17,7 +17,7 @@
     /** A target that could not be reached is tried again after this time, which doubles with each further failure. */
     private static final Duration FIRST_SUSPENSION = Duration.ofMillis(500);
 
-    private static final Duration LONGEST_SUSPENSION = Duration.ofSeconds(4);
+    private static final Duration MAX_SUSPENSION = Duration.ofSeconds(4);
     /** Successful responses that are assumed beforehand, so that a single failure does not exclude a target. */
     private static final int PRIOR_SUCCESSES = 9;
 
@@ -79,11 +79,11 @@
     }
 
     /** Records the target as it was published at a revision. */
-    void publish(ForwardTarget entry, long atRevision) {
-        if (!entry.isSameRun(target)) {
+    void publish(ForwardTarget published, long atRevision) {
+        if (!published.isSameRun(target)) {
             onRestart();
         }
-        target = entry;
+        target = published;
         unpublished = false;
         revision = atRevision;
     }
@@ -104,29 +104,29 @@
 
     void addInFlight(InFlightRequest inFlight) {
         inFlightRequests.add(inFlight);
-        loadChanged(inFlight);
+        reportLoadChange(inFlight);
     }
 
     void removeInFlight(InFlightRequest inFlight) {
         inFlightRequests.remove(inFlight);
-        loadChanged(inFlight);
+        reportLoadChange(inFlight);
     }
 
     void reserveCopy(InFlightRequest inFlight) {
         copies.add(inFlight);
-        loadChanged(inFlight);
+        reportLoadChange(inFlight);
     }
 
     void releaseCopy(InFlightRequest inFlight) {
         copies.remove(inFlight);
-        loadChanged(inFlight);
+        reportLoadChange(inFlight);
     }
 
     /**
      * Reports a change of load to the peers. Requests to plain services are not reported: they end before the report
      * arrives.
      */
-    void loadChanged(InFlightRequest inFlight) {
+    void reportLoadChange(InFlightRequest inFlight) {
         if (inFlight.isGeneration()) {
             onLoadChange.run();
         }
@@ -175,8 +175,8 @@
         suspended = true;
         suspendedUntil = now + suspension.toNanos();
         suspension = suspension.multipliedBy(2);
-        if (suspension.compareTo(LONGEST_SUSPENSION) > 0) {
-            suspension = LONGEST_SUSPENSION;
+        if (suspension.compareTo(MAX_SUSPENSION) > 0) {
+            suspension = MAX_SUSPENSION;
         }
     }
 
@@ -186,11 +186,11 @@
         if (failure) {
             onLoadChange.run();
         } else {
-            clearSuspension();
+            markHealthy();
         }
     }
 
-    private synchronized void clearSuspension() {
+    private synchronized void markHealthy() {
         suspected = false;
         suspended = false;
         suspension = FIRST_SUSPENSION;
@@ -212,7 +212,7 @@
     }
 
     private void onRestart() {
-        clearSuspension();
+        markHealthy();
         outcomes.reset();
     }
 
--- a/forward/src/test/java/org/verbenatally/forward/BodyMemoryTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/BodyMemoryTest.java
@@ -8,7 +8,7 @@
 
     /** Guards against memory that is lost with each refused body, until no request is accepted any more. */
     @Test
-    void refusedBytesAreNotTaken() {
+    void refusedBytesAreNotReserved() {
         BodyMemory memory = new BodyMemory(100);
         assertThat(memory.reserve(80)).isTrue();
         assertThat(memory.reserve(30)).isFalse();
--- a/forward/src/test/java/org/verbenatally/forward/CrashDetectorTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/CrashDetectorTest.java
@@ -89,12 +89,12 @@
 
     /** Guards against refusing requests that many callers send, because they were running whenever a target died. */
     @Test
-    void whatRanBesideACrashIsStillServed() throws Exception {
+    void requestsRunningDuringCrashAreStillServed() throws Exception {
         AtomicReference<RawTarget> self = new AtomicReference<>();
-        CountDownLatch together = new CountDownLatch(CRASHES);
+        CountDownLatch allRunning = new CountDownLatch(CRASHES);
         self.set(new RawTarget((head, out, socket) -> {
-            together.countDown();
-            together.await();
+            allRunning.countDown();
+            allRunning.await();
             self.get().close();
             RawTarget.reset(socket);
             return false;
@@ -122,7 +122,7 @@
 
     /** Guards against refusing a request because responses to it were lost while its target kept running. */
     @Test
-    void lostAnswersAreNoCrash() throws Exception {
+    void lostResponsesAreNotCountedAsCrash() throws Exception {
         AtomicInteger runs = new AtomicInteger();
         try (var target = failingTarget(runs, false)) {
             fixture.publish("a", CALLS, target);
--- a/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
@@ -13,17 +13,17 @@
     private final ManualTimer timer = new ManualTimer();
     private final Shutdown shutdown = new Shutdown(timer, Duration.ofSeconds(8));
 
-    private boolean acceptsCall() {
-        return shutdown.accepts(Repetition.IDEMPOTENT, PATIENCE);
+    private boolean isAcceptingCall() {
+        return shutdown.isAccepting(Repetition.IDEMPOTENT, PATIENCE);
     }
 
     /** Guards against accepting a call shortly before the end of the process, which cuts it off. */
     @Test
     void callThatWouldOutliveProcessIsRefused() {
         shutdown.start();
-        assertThat(acceptsCall()).isTrue();
+        assertThat(isAcceptingCall()).isTrue();
         timer.advance(Duration.ofMillis(7_700));
-        assertThat(acceptsCall()).isFalse();
+        assertThat(isAcceptingCall()).isFalse();
     }
 
     /** Guards against an end while a request is open, or just after one has been read. */
@@ -38,7 +38,7 @@
         shutdown.onRequestEnd();
         shutdown.check();
         assertThat(done).isNotDone();
-        assertThat(acceptsCall()).isFalse();
+        assertThat(isAcceptingCall()).isFalse();
         shutdown.check();
         assertThat(done).isDone();
     }
