--- a/forward/src/main/java/org/verbenatally/forward/EngineAdmission.java
+++ b/forward/src/main/java/org/verbenatally/forward/EngineAdmission.java
@@ -9,99 +9,120 @@
 import org.verbenatally.core.TargetId;
 
 /**
- * Decides when and where a generation starts: at once where it can be on time, else after a short wait, else as filling
- * work that yields to others, and not at all where it would only wait in vain.
+ * Decides when and where a generation starts: at once where it can be on time, otherwise after a short wait, otherwise
+ * as filling work that yields to others. A generation that would only wait in vain is not started.
  */
 final class EngineAdmission {
-    /** Part of its objective that a generation waits for an engine; its caller learns soon that it must come back. */
-    private static final int PATIENCE_PART = 8;
-    /** Time kept for the network and for the other generations of the engine, besides the reading of prompts. */
+    /**
+     * A generation waits for an engine for at most the objective of its route divided by this, so that its caller
+     * learns early that it must retry.
+     */
+    private static final int WAIT_DIVISOR = 8;
+    /** Time reserved for the network and for the engine's other generations, in addition to reading prompts. */
     private static final Duration START_MARGIN = Duration.ofMillis(200);
-    /** Room that comes with time alone, such as the end of a suspension, is looked for in this period. */
-    private static final Duration ROOM_CHECK = Duration.ofMillis(100);
+    /**
+     * Interval at which to check for capacity that becomes free with time alone, such as at the end of a suspension.
+     */
+    private static final Duration CAPACITY_CHECK_INTERVAL = Duration.ofMillis(100);
 
     /**
-     * Part of the time left after which a refused caller is asked to come back. Room for a long generation comes with
-     * the end of others, or with an engine that replaces one, both of which take seconds; a caller that comes back
-     * sooner is refused again.
+     * The retry delay of a refused caller is its remaining time divided by this. Capacity for a long generation becomes
+     * free when others end or when an engine is replaced, both of which take seconds; a caller that retries sooner is
+     * refused again.
      */
-    private static final int COME_BACK_PART = 8;
+    private static final int RETRY_AFTER_DIVISOR = 8;
 
-    /** One generation of an engine ends about each second. */
-    private static final Duration SOONEST_COME_BACK = Duration.ofMillis(750);
-    /** An engine is replaced within about this time. */
-    private static final Duration LATEST_COME_BACK = Duration.ofSeconds(5);
-    /** Callers that were refused together come back spread over this part of the time. */
-    private static final int SPREAD_PART = 2;
-    /** Callers do not wait longer than this part of the time left. */
-    private static final int LONGEST_PART = 3;
+    /** Shortest retry delay: about one generation of an engine ends each second. */
+    private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(750);
+    /** Longest retry delay without jitter: an engine is replaced within about this time. */
+    private static final Duration MAX_RETRY_AFTER = Duration.ofSeconds(5);
+    /**
+     * Jitter of up to the retry delay divided by this is added, so that callers refused together do not retry together.
+     */
+    private static final int JITTER_DIVISOR = 2;
+    /** The retry delay is at most the remaining time divided by this, since callers do not wait longer. */
+    private static final int LATEST_RETRY_DIVISOR = 3;
 
-    private final ForwardParts parts;
+    private final ForwardComponents components;
 
     /**
      * Where a generation starts.
      *
-     * @param row the engine
+     * @param targetState the engine
      * @param urgency its rank there
      */
-    record Admitted(TargetRow row, Urgency urgency) {}
+    record Admitted(TargetState targetState, Urgency urgency) {}
 
-    EngineAdmission(ForwardParts parts) {
-        this.parts = Objects.requireNonNull(parts, "parts");
+    EngineAdmission(ForwardComponents components) {
+        this.components = Objects.requireNonNull(components, "components");
     }
 
     /**
-     * Returns when a caller that was refused should come back.
+     * Returns the delay after which a refused caller should retry.
      *
-     * @param left how long its answer is of use
+     * @param remaining time for which the response is still of use
      */
-    static Duration comeBackAfter(Duration left) {
-        long part = left.toMillis() / COME_BACK_PART;
-        long base = Math.clamp(part, SOONEST_COME_BACK.toMillis(), LATEST_COME_BACK.toMillis());
-        long spread = ThreadLocalRandom.current().nextLong(base / SPREAD_PART);
-        return Duration.ofMillis(Math.clamp(base + spread, 0, Math.max(0, left.toMillis() / LONGEST_PART)));
+    static Duration retryAfter(Duration remaining) {
+        long fraction = remaining.toMillis() / RETRY_AFTER_DIVISOR;
+        long base = Math.clamp(fraction, MIN_RETRY_AFTER.toMillis(), MAX_RETRY_AFTER.toMillis());
+        long jitter = ThreadLocalRandom.current().nextLong(base / JITTER_DIVISOR);
+        return Duration.ofMillis(
+                Math.clamp(base + jitter, 0, Math.max(0, remaining.toMillis() / LATEST_RETRY_DIVISOR)));
     }
 
-    /** Returns the engine for a generation, after waiting shortly for room; empty if all are too full. */
-    Optional<Admitted> await(ForwardedRequest r, Generation generation, CallerExchange caller, Set<TargetId> exclude) {
-        long start = parts.timer().nanos();
-        Duration patience = r.route().objective().dividedBy(PATIENCE_PART);
-        WaitingLine.Place place =
-                parts.line().enter(r.service().name(), r.route().priority(), start + patience.toNanos());
-        if (place == null) {
+    /** Chooses the engine for a generation, waiting briefly for capacity; empty if all engines are too full. */
+    Optional<Admitted> await(
+            ForwardedRequest request, Generation generation, CallerExchange caller, Set<TargetId> exclude) {
+        long start = components.timer().nanos();
+        Duration maxWait = request.route().objective().dividedBy(WAIT_DIVISOR);
+        WaitQueue.Position position = components
+                .waitQueue()
+                .enter(request.service().name(), request.route().priority(), start + maxWait.toNanos());
+        if (position == null) {
             return Optional.empty();
         }
         try {
             while (!caller.isGone()) {
-                Duration waited = Duration.ofNanos(parts.timer().nanos() - start);
-                boolean patient = waited.compareTo(patience) <= 0;
-                if (!patient || parts.line().isNext(r.service().name(), place)) {
-                    Optional<TargetRow> row = parts.chooser().engine(r.service(), generation, exclude);
-                    if (row.isEmpty() || mayStart(r, generation, row.get(), waited)) {
-                        return row.map(engine -> new Admitted(engine, Urgency.NORMAL));
+                Duration waited = Duration.ofNanos(components.timer().nanos() - start);
+                boolean mayWait = waited.compareTo(maxWait) <= 0;
+                if (!mayWait || components.waitQueue().isNext(request.service().name(), position)) {
+                    Optional<TargetState> state =
+                            components.chooser().chooseEngine(request.service(), generation, exclude);
+                    if (state.isEmpty() || mayStart(request, generation, state.get(), waited)) {
+                        return state.map(engine -> new Admitted(engine, Urgency.NORMAL));
                     }
-                    if (!patient) {
-                        double share = parts.chooser().fillingShare(r.service().name());
-                        return row.filter(engine -> parts.chooser().hasRoom(r.service(), generation, engine, share))
+                    if (!mayWait) {
+                        double share = components
+                                .chooser()
+                                .fillingMemoryShare(request.service().name());
+                        return state.filter(engine ->
+                                        components.chooser().hasCapacity(request.service(), generation, engine, share))
                                 .map(engine -> new Admitted(engine, Urgency.FILLING));
                     }
                 }
-                Duration rest = patience.minus(waited);
-                parts.line().await(place, patient && rest.compareTo(ROOM_CHECK) < 0 ? rest : ROOM_CHECK);
+                Duration remainingWait = maxWait.minus(waited);
+                components
+                        .waitQueue()
+                        .await(
+                                position,
+                                mayWait && remainingWait.compareTo(CAPACITY_CHECK_INTERVAL) < 0
+                                        ? remainingWait
+                                        : CAPACITY_CHECK_INTERVAL);
             }
             return Optional.empty();
         } finally {
-            parts.line().leave(r.service().name(), place);
+            components.waitQueue().leave(request.service().name(), position);
         }
     }
 
-    /** Tells whether an engine has the memory for a generation, and can read its prompt in time. */
-    private boolean mayStart(ForwardedRequest r, Generation generation, TargetRow row, Duration waited) {
-        Duration limit = r.route().objective().minus(waited).minus(START_MARGIN);
-        // Short generations end before they would have to move.
-        double share =
-                generation.isLong() ? parts.chooser().newWorkShare(r.service().name()) : TargetChooser.PLANNED_MEMORY;
-        return parts.chooser().hasRoom(r.service(), generation, row, share)
-                && parts.chooser().readTime(row, generation).compareTo(limit) <= 0;
+    /** Returns whether an engine has the memory for a generation and can read its prompt in time. */
+    private boolean mayStart(ForwardedRequest request, Generation generation, TargetState state, Duration waited) {
+        Duration limit = request.route().objective().minus(waited).minus(START_MARGIN);
+        // Short generations end before they would have to migrate.
+        double share = generation.isLong()
+                ? components.chooser().newWorkMemoryShare(request.service().name())
+                : TargetChooser.PLANNED_MEMORY_SHARE;
+        return components.chooser().hasCapacity(request.service(), generation, state, share)
+                && components.chooser().promptReadTime(state, generation).compareTo(limit) <= 0;
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/EventSplitter.java
+++ b/forward/src/main/java/org/verbenatally/forward/EventSplitter.java
@@ -6,51 +6,54 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * Cuts the bytes of an event stream into whole events, so that an event which breaks off is never passed on. Reads the
- * id of the last whole event.
+ * Splits the bytes of an event stream into complete events, so that an event that breaks off is never passed on. Reads
+ * the id of the last complete event.
  */
 final class EventSplitter {
-    /** Longest event; a longer one is not an event stream's. */
+    /** Longest event; data with a longer one is not an event stream. */
     static final int MAX_EVENT_BYTES = 1 << 20;
 
-    /** The end of a line and an empty one: LF CR LF. */
-    private static final int LONGEST_EMPTY_LINE = 3;
+    /** Length of a line end and an empty line, in bytes: LF CR LF. */
+    private static final int MAX_EMPTY_LINE_BYTES = 3;
 
     private static final byte[] ID = "id:".getBytes(StandardCharsets.US_ASCII);
 
-    /** What a target sends is no stream of events. */
-    static final class EndlessEventException extends Exception {
+    /** The data that a target sends is not an event stream. */
+    static final class EventTooLongException extends Exception {
         private static final long serialVersionUID = 1;
 
-        EndlessEventException() {
+        EventTooLongException() {
             super("event is longer than " + MAX_EVENT_BYTES + " bytes");
         }
     }
 
-    private Buffer rest = Buffer.buffer();
+    private Buffer incomplete = Buffer.buffer();
     private String lastId;
     private long count;
 
     /**
-     * Takes the next bytes and returns the events that are whole now, empty if none is.
+     * Appends a chunk and returns the events that are complete now, empty if none is.
      *
-     * @throws EndlessEventException if an event is too long
+     * @throws EventTooLongException if an event is too long
      */
-    Buffer take(Buffer part) throws EndlessEventException {
-        // An empty line may have begun in what was left.
-        int seen = Math.max(0, rest.length() - LONGEST_EMPTY_LINE);
-        Buffer all = rest.length() == 0 ? part : rest.appendBuffer(part);
-        int end = endOfLastEvent(all, seen);
+    Buffer append(Buffer chunk) throws EventTooLongException {
+        // An empty line may have started in the bytes that were left.
+        int searchFrom = Math.max(0, incomplete.length() - MAX_EMPTY_LINE_BYTES);
+        Buffer all = incomplete.length() == 0 ? chunk : incomplete.appendBuffer(chunk);
+        int end = endOfLastEvent(all, searchFrom);
         if (all.length() - end > MAX_EVENT_BYTES) {
-            throw new EndlessEventException();
+            throw new EventTooLongException();
         }
-        rest = end == all.length() ? Buffer.buffer() : Buffer.buffer(all.getBytes(end, all.length()));
-        Buffer whole = all.slice(0, end);
-        readIds(whole);
-        return whole;
+        incomplete = end == all.length() ? Buffer.buffer() : Buffer.buffer(all.getBytes(end, all.length()));
+        Buffer complete = all.slice(0, end);
+        parseIds(complete);
+        return complete;
     }
 
-    /** An event ends with an empty line; lines end with LF or CRLF. */
+    /**
+     * Returns the index after the last event, 0 if none is complete. An event ends with an empty line; lines end with
+     * LF or CRLF.
+     */
     private static int endOfLastEvent(Buffer all, int from) {
         for (int i = all.length() - 1; i > from; i--) {
             if (all.getByte(i) == '\n') {
@@ -64,48 +67,48 @@
         return 0;
     }
 
-    private void readIds(Buffer whole) {
+    private void parseIds(Buffer complete) {
         int start = 0;
-        for (int i = 0; i < whole.length(); i++) {
-            if (whole.getByte(i) == '\n') {
-                if (startsWithId(whole, start, i)) {
+        for (int i = 0; i < complete.length(); i++) {
+            if (complete.getByte(i) == '\n') {
+                if (startsWithId(complete, start, i)) {
                     count++;
-                    lastId = whole.getString(start + ID.length, i, "UTF-8").strip();
+                    lastId = complete.getString(start + ID.length, i, "UTF-8").strip();
                 }
                 start = i + 1;
             }
         }
     }
 
-    private static boolean startsWithId(Buffer whole, int start, int end) {
+    private static boolean startsWithId(Buffer complete, int start, int end) {
         if (end - start <= ID.length) {
             return false;
         }
         for (int i = 0; i < ID.length; i++) {
-            if (whole.getByte(start + i) != ID[i]) {
+            if (complete.getByte(start + i) != ID[i]) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Returns the id of the last whole event. */
+    /** Returns the id of the last complete event. */
     Optional<String> lastId() {
         return Optional.ofNullable(lastId);
     }
 
-    /** Returns the number of whole events that have an id. */
+    /** Returns the number of complete events that have an id. */
     long count() {
         return count;
     }
 
-    /** Tells whether bytes of an event are left that has not ended. */
-    boolean hasRest() {
-        return rest.length() > 0;
+    /** Returns whether bytes of an event are left that has not ended. */
+    boolean hasIncompleteEvent() {
+        return incomplete.length() > 0;
     }
 
-    /** Drops the bytes of an event that will not end. */
-    void dropRest() {
-        rest = Buffer.buffer();
+    /** Discards the bytes of an event that will not end. */
+    void discardIncompleteEvent() {
+        incomplete = Buffer.buffer();
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
@@ -13,30 +13,30 @@
 public final class ForwardMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
-    /** Counts the end of a request. */
-    void ended(Repetition repetition, String outcome, Duration took) {
+    /** Records a request that has ended. */
+    void recordRequest(Repetition repetition, String outcome, Duration elapsed) {
         Timer.builder("verbenatally.requests")
                 .tag("repetition", repetition.name())
                 .tag("outcome", outcome)
                 .publishPercentileHistogram(false)
                 .register(registry)
-                .record(took);
+                .record(elapsed);
     }
 
     /** Counts a decision. */
-    public void count(String decision) {
+    public void countDecision(String decision) {
         Counter.builder("verbenatally.decisions")
                 .tag("decision", decision)
                 .register(registry)
                 .increment();
     }
 
-    /** Shows a value that changes by itself. */
-    public void gauge(String name, Supplier<Number> value) {
+    /** Registers a gauge whose value is read at each scrape. */
+    public void registerGauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
     }
 
-    /** Returns all metrics as text. */
+    /** Returns all metrics in the Prometheus text format. */
     public String scrape() {
         return registry.scrape();
     }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
@@ -23,8 +23,8 @@
 import org.verbenatally.wire.TargetLoad;
 
 /**
- * Connects the peer network with the directory and the suspects. Forwarded work has no idempotency keys, so no calls go
- * to peers.
+ * Connects the peer network with the directory and the suspects. Forwarded requests have no idempotency keys, so no
+ * calls are forwarded to peers.
  */
 final class ForwardPeers implements PeerHandler {
     private static final Logger LOG = Logger.getLogger(ForwardPeers.class);
@@ -59,10 +59,10 @@
 
     @Override
     public void onTargetLoads(InstanceId from, List<TargetLoad> loads) {
-        directory.peerLoads(from, loads);
+        directory.updatePeerLoads(from, loads);
     }
 
-    /** Whether a target leaves is part of its published entry. */
+    /** Returns no targets: whether a target leaves is part of its published record. */
     @Override
     public Set<TargetId> leavingTargets() {
         return Set.of();
@@ -71,23 +71,23 @@
     @Override
     public void onLeavingTargets(InstanceId from, Set<TargetId> targets) {
         if (!targets.isEmpty()) {
-            LOG.warnf("peer: %s tells of leaving targets outside the published list: %s", from, targets);
+            LOG.warnf("peer: %s reports leaving targets outside the published list: %s", from, targets);
         }
     }
 
     @Override
-    public void checkPublished(List<PublishedTarget> entries) {
-        entries.forEach(TargetNews::target);
+    public void checkPublished(List<PublishedTarget> published) {
+        published.forEach(PublishedTargetCodec::decode);
     }
 
     @Override
-    public void onPublished(List<PublishedTarget> entries) {
-        directory.heard(entries);
+    public void onPublished(List<PublishedTarget> published) {
+        directory.applyUpdates(published);
     }
 
     @Override
     public void onPublishedAge(Duration age) {
-        directory.heardAsOf(age);
+        directory.updateAge(age);
     }
 
     @Override
@@ -101,8 +101,8 @@
     }
 
     @Override
-    public void onSuspects(InstanceId from, List<Suspect> rows) {
-        suspects.merge(from, rows);
+    public void onSuspects(InstanceId from, List<Suspect> records) {
+        suspects.merge(from, records);
     }
 
     @Override
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -32,7 +32,7 @@
     private static final Logger LOG = Logger.getLogger(ForwardServer.class);
     private static final long START_TIMEOUT_SECONDS = 20;
     private static final int MAX_HEADER_BYTES = 32_768;
-    /** Connections without a request for longer than this are closed; configurations allow less. */
+    /** Connections without a request for longer than this are closed; the limits of configurations are shorter. */
     private static final int IDLE_SECONDS = 120;
 
     private static final int OK = 200;
@@ -45,13 +45,13 @@
     private final SuspectTable suspects;
     private final ForwardMetrics metrics = new ForwardMetrics();
     private final Shutdown shutdown;
-    private final ForwardParts parts;
+    private final ForwardComponents components;
     private volatile Peers<ForwardDeployment> peers;
 
     /**
      * Creates an instance that does not listen yet.
      *
-     * @param options what it knows of itself
+     * @param options options of the instance
      * @param vertx runs its connections
      * @param timer its timer service
      * @param codec translates the heads of messages
@@ -60,43 +60,45 @@
         this.options = Objects.requireNonNull(options, "options");
         this.vertx = Objects.requireNonNull(vertx, "vertx");
         this.timer = Objects.requireNonNull(timer, "timer");
-        this.directory = new TargetDirectory(timer, this::publish, this::loadsChanged);
+        this.directory = new TargetDirectory(timer, this::publishToPeers, this::reportLoadsChanged);
         this.suspects = new SuspectTable(timer);
         this.shutdown = new Shutdown(timer, options.grace());
-        this.parts = new ForwardParts(
+        this.components = new ForwardComponents(
                 timer,
                 directory,
                 new TargetChooser(timer, directory, options.peers().failureDomain()),
-                new WaitingLine(timer),
+                new WaitQueue(timer),
                 new TargetClient(vertx, this::liveMembers),
                 codec,
-                new RepeatAllowance(timer, options.repeats(), this::liveMembers),
+                new RepeatAllowance(timer, options.retryRule(), this::liveMembers),
                 new CrashDetector(suspects, directory, timer, vertx),
                 new BodyMemory(),
                 metrics);
-        directory.onChange(parts.line()::wake);
-        metrics.gauge("verbenatally.open.requests", shutdown::open);
-        metrics.gauge("verbenatally.config.version", this::version);
-        metrics.gauge("verbenatally.waiting", () -> parts.line().size());
-        metrics.gauge("verbenatally.body.bytes", () -> parts.bodies().taken());
-        metrics.gauge("verbenatally.members", this::liveMembers);
+        directory.onChange(components.waitQueue()::wake);
+        metrics.registerGauge("verbenatally.open.requests", shutdown::openRequests);
+        metrics.registerGauge("verbenatally.config.version", this::version);
+        metrics.registerGauge(
+                "verbenatally.waiting", () -> components.waitQueue().size());
+        metrics.registerGauge(
+                "verbenatally.body.bytes", () -> components.bodyMemory().reserved());
+        metrics.registerGauge("verbenatally.members", this::liveMembers);
     }
 
-    private void publish(List<PublishedTarget> entries) {
+    private void publishToPeers(List<PublishedTarget> targets) {
         Peers<ForwardDeployment> p = peers;
         if (p != null) {
-            p.publish(entries);
+            p.publish(targets);
         }
     }
 
-    private void loadsChanged() {
+    private void reportLoadsChanged() {
         Peers<ForwardDeployment> p = peers;
         if (p != null) {
             p.loadsChanged();
         }
     }
 
-    /** Returns how many instances are live, this one included. */
+    /** Returns the number of live instances, this one included. */
     public int liveMembers() {
         Peers<ForwardDeployment> p = peers;
         return p == null
@@ -107,17 +109,17 @@
     }
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @param reader reads the configurations that are offered
      * @throws java.util.concurrent.CompletionException if an address is taken or the start takes too long
      */
     public void start(DocumentReader<ForwardDeployment> reader) {
-        // Callers that connect before a configuration is known wait for it here, which is sooner than to come back.
+        // Listens before a configuration is known: callers that wait here for one are served sooner than by a retry.
         await(vertx.deployVerticle(
-                Callers::new, new DeploymentOptions().setThreadingModel(ThreadingModel.VIRTUAL_THREAD)));
+                CallerVerticle::new, new DeploymentOptions().setThreadingModel(ThreadingModel.VIRTUAL_THREAD)));
         await(vertx.deployVerticle(
-                Readiness::new, new DeploymentOptions().setThreadingModel(ThreadingModel.EVENT_LOOP)));
+                ReadinessVerticle::new, new DeploymentOptions().setThreadingModel(ThreadingModel.EVENT_LOOP)));
         peers = join(Peers.start(options.peers(), vertx, timer, config, reader, new ForwardPeers(directory, suspects)));
         peers.onConfig(d -> LogEvent.of("config.inForce")
                 .with("version", d.version().value())
@@ -138,21 +140,23 @@
     }
 
     /**
-     * Takes changed options. Seeds, grace period and the bound of repeated sends change at once, the rest at the next
-     * start.
+     * Applies changed options. Seeds, the grace period and the retry rule change at once, the rest at the next start.
      */
     public void reload(ForwardOptions next) {
         peers.seeds(next.peers().seeds());
-        shutdown.grace(next.grace());
-        parts.repeats().rule(next.repeats());
+        shutdown.setGrace(next.grace());
+        components.retryAllowance().setRule(next.retryRule());
         LogEvent.of("instance.reloaded")
                 .with("seeds", next.peers().seeds())
                 .with("graceMs", next.grace().toMillis())
-                .with("repeats", next.repeats())
+                .with("repeats", next.retryRule())
                 .info(LOG);
     }
 
-    /** Offers a configuration; it is put in force if it is valid and higher than the present one. */
+    /**
+     * Offers a configuration, which is put in force if it is valid and higher than the present one. Returns whether it
+     * is valid.
+     */
     public boolean offerConfig(String source, byte[] body) {
         return peers.offerConfig(source, body);
     }
@@ -162,7 +166,7 @@
         return config.deployment().map(d -> d.version().value()).orElse(0L);
     }
 
-    /** Returns the targets. */
+    /** Returns the directory of targets. */
     public TargetDirectory directory() {
         return directory;
     }
@@ -189,17 +193,17 @@
         return shutdown.start();
     }
 
-    private final class Callers extends VerticleBase {
+    private final class CallerVerticle extends VerticleBase {
         @Override
         public Future<?> start() {
-            Context own = context;
-            ForwardHandler handler = new ForwardHandler(parts, config::deployment, shutdown, own);
+            Context ownContext = context;
+            ForwardHandler handler = new ForwardHandler(components, config::deployment, shutdown, ownContext);
             return vertx.createHttpServer(new HttpServerOptions()
                             .setMaxHeaderSize(MAX_HEADER_BYTES)
                             .setIdleTimeout(IDLE_SECONDS)
                             .setHandle100ContinueAutomatically(true)
                             .setTcpNoDelay(true)
-                            // Without the handlers that look at each message for extensions of web sockets.
+                            // Leaves out the handlers that inspect each message for WebSocket extensions.
                             .setPerFrameWebSocketCompressionSupported(false)
                             .setPerMessageWebSocketCompressionSupported(false))
                     .requestHandler(request -> {
@@ -210,11 +214,11 @@
         }
     }
 
-    private final class Readiness extends VerticleBase {
+    private final class ReadinessVerticle extends VerticleBase {
         @Override
         public Future<?> start() {
             Future<?> ready = vertx.createHttpServer()
-                    .requestHandler(this::answer)
+                    .requestHandler(this::respond)
                     .listen(options.readiness().port(), options.readiness().host());
             Future<?> scrape = options.metrics().isEmpty()
                     ? Future.succeededFuture()
@@ -226,7 +230,7 @@
             return Future.all(ready, scrape);
         }
 
-        private void answer(HttpServerRequest request) {
+        private void respond(HttpServerRequest request) {
             int status = CallerExchange.NOT_FOUND;
             if (request.path().equals(options.readinessPath())) {
                 status = notReadyReason().isEmpty() ? OK : CallerExchange.UNAVAILABLE;
--- a/forward/src/main/java/org/verbenatally/forward/TargetNews.java
+++ b/forward/src/main/java/org/verbenatally/forward/PublishedTargetCodec.java
@@ -9,12 +9,12 @@
 import org.verbenatally.wire.PublishedTarget;
 import org.verbenatally.wire.TargetEntry;
 
-/** Translates published entries from and to the form in which instances pass them on. */
-final class TargetNews {
-    private TargetNews() {}
+/** Converts published targets to and from the records in which instances pass them on. */
+final class PublishedTargetCodec {
+    private PublishedTargetCodec() {}
 
-    static PublishedTarget of(ForwardTarget target, long revision) {
-        return withdrawn(target.id(), revision)
+    static PublishedTarget encode(ForwardTarget target, long revision) {
+        return encodeRemoval(target.id(), revision)
                 .setEntry(new TargetEntry(
                         target.service().value(),
                         target.address().host(),
@@ -26,18 +26,18 @@
                         target.coldMs()));
     }
 
-    static PublishedTarget withdrawn(TargetId id, long revision) {
+    static PublishedTarget encodeRemoval(TargetId id, long revision) {
         return new PublishedTarget(id.value(), revision);
     }
 
     /**
-     * Returns the target of an entry, or empty if it is no longer published.
+     * Returns the target of a record, or empty if it is no longer published.
      *
      * @throws IllegalArgumentException if a field is not valid; the message names it
      */
-    static Optional<ForwardTarget> target(PublishedTarget entry) {
-        TargetId id = new TargetId(entry.getTarget());
-        return Optional.ofNullable(entry.getEntry())
+    static Optional<ForwardTarget> decode(PublishedTarget published) {
+        TargetId id = new TargetId(published.getTarget());
+        return Optional.ofNullable(published.getEntry())
                 .map(e -> new ForwardTarget(
                         id,
                         e.getStartedMs(),
--- a/forward/src/main/java/org/verbenatally/forward/RepeatAllowance.java
+++ b/forward/src/main/java/org/verbenatally/forward/RepeatAllowance.java
@@ -12,35 +12,35 @@
 import org.verbenatally.time.TimerService;
 
 /**
- * Bounds how often requests are sent a second time to each service, over a sliding window: a share of the first sends
- * of this instance, and its part of a fixed number that all instances have together. Safe for use by several threads.
+ * Limits how often requests are retried at each service, over a sliding window: to a ratio of this instance's first
+ * sends, plus its part of a fixed number that all instances share. Safe for use by several threads.
  */
 public final class RepeatAllowance {
-    /** Part of the allowance that is used, since the windows and the members of two instances differ. */
-    private static final double USED_PART = 0.7;
-    /** Targets that may turn a request away before it is refused. */
+    /** Share of the allowance that is used, since the windows and the member counts of two instances differ. */
+    private static final double USED_SHARE = 0.7;
+    /** Number of targets that may reject a request before it is refused. */
     private static final int MAX_SENDS = 3;
 
     /**
-     * The rule that all instances keep together.
+     * The limit that all instances keep together.
      *
-     * @param ratio repeats allowed for each first send
+     * @param ratio retries allowed for each first send
      * @param window length of the sliding window
-     * @param slack repeats allowed besides in any window, over all instances
+     * @param slack further retries allowed in any window, over all instances
      */
     public record Rule(double ratio, Duration window, int slack) {}
 
     private static final class Counts {
-        final Deque<Long> first = new ArrayDeque<>();
-        final Deque<Long> repeats = new ArrayDeque<>();
+        final Deque<Long> firstSends = new ArrayDeque<>();
+        final Deque<Long> retries = new ArrayDeque<>();
 
-        void trim(long until) {
-            trim(first, until);
-            trim(repeats, until);
+        void trim(long oldest) {
+            trim(firstSends, oldest);
+            trim(retries, oldest);
         }
 
-        private static void trim(Deque<Long> times, long until) {
-            while (!times.isEmpty() && times.peekFirst() - until < 0) {
+        private static void trim(Deque<Long> times, long oldest) {
+            while (!times.isEmpty() && times.peekFirst() - oldest < 0) {
                 times.removeFirst();
             }
         }
@@ -55,7 +55,7 @@
      * Creates an unused allowance.
      *
      * @param timer clock
-     * @param rule the rule
+     * @param rule the limit
      * @param members live instances, this one included
      */
     public RepeatAllowance(TimerService timer, Rule rule, IntSupplier members) {
@@ -64,8 +64,8 @@
         this.members = Objects.requireNonNull(members, "members");
     }
 
-    /** Replaces the rule; what was counted stays. */
-    void rule(Rule next) {
+    /** Replaces the rule; the counts are kept. */
+    void setRule(Rule next) {
         rule = Objects.requireNonNull(next, "next");
     }
 
@@ -76,30 +76,30 @@
     }
 
     /**
-     * Tells whether a request may be sent, and counts the send.
+     * Returns whether a request may be sent, and counts the send if so.
      *
-     * @param sends how often it was sent before
+     * @param previousSends how often the request was sent before
      */
-    boolean maySend(ServiceName service, int sends) {
-        if (sends == 0) {
-            first(service);
+    boolean tryAcquire(ServiceName service, int previousSends) {
+        if (previousSends == 0) {
+            countFirstSend(service);
             return true;
         }
-        return sends < MAX_SENDS && tryRepeat(service);
+        return previousSends < MAX_SENDS && tryRetry(service);
     }
 
-    /** Counts a first send. */
-    synchronized void first(ServiceName service) {
-        counts(service).first.addLast(timer.nanos());
+    synchronized void countFirstSend(ServiceName service) {
+        counts(service).firstSends.addLast(timer.nanos());
     }
 
-    /** Takes one repeat, if the rule allows it. */
-    synchronized boolean tryRepeat(ServiceName service) {
+    /** Counts a retry if the rule allows it; returns whether it does. */
+    synchronized boolean tryRetry(ServiceName service) {
         Counts counts = counts(service);
-        double most = rule.ratio() * counts.first.size() + rule.slack() / (double) Math.max(1, members.getAsInt());
-        boolean allowed = counts.repeats.size() + 1 <= USED_PART * most;
+        double limit =
+                rule.ratio() * counts.firstSends.size() + rule.slack() / (double) Math.max(1, members.getAsInt());
+        boolean allowed = counts.retries.size() + 1 <= USED_SHARE * limit;
         if (allowed) {
-            counts.repeats.addLast(timer.nanos());
+            counts.retries.addLast(timer.nanos());
         }
         return allowed;
     }
--- a/forward/src/main/java/org/verbenatally/forward/TargetClient.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetClient.java
@@ -32,24 +32,27 @@
 import org.verbenatally.time.TimedAwait;
 
 /**
- * Sends requests to targets over kept connections. Methods wait and must run in a virtual-thread task. Failures are
+ * Sends requests to targets over pooled connections. Methods block and must run in a virtual-thread task. Failures are
  * {@link StepException}s: {@code NOT_RUN} if nothing was sent, {@code UNKNOWN} otherwise.
  */
 final class TargetClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(600);
-    /** Connections that were idle for longer may have been closed by the target, which leaves a request unclear. */
+    /**
+     * Connections that were idle for longer may have been closed by the target, which leaves it unclear whether a
+     * request has run.
+     */
     private static final int KEEP_ALIVE_SECONDS = 2;
 
-    /** The failure of a connection is handed over within this time of its end. */
-    private static final Duration FAILURE_REPORT = Duration.ofMillis(5);
+    /** The failure of a connection is reported within this time after its end. */
+    private static final Duration FAILURE_REPORT_DELAY = Duration.ofMillis(5);
 
     private static final int MAX_HEADER_BYTES = 16_384;
-    private static final int LEAST_CONNECTIONS = 8;
+    private static final int MIN_CONNECTIONS = 8;
 
     private final Vertx vertx;
     private final IntSupplier members;
-    /** Connections that failed; kept only as long as somebody may ask. */
-    private final Set<HttpConnection> failed =
+    /** Connections that failed; held weakly, as they are of no use once their responses are gone. */
+    private final Set<HttpConnection> failedConnections =
             Collections.newSetFromMap(Collections.synchronizedMap(new WeakHashMap<>()));
 
     private final Map<ServiceName, HttpClient> clients = new ConcurrentHashMap<>();
@@ -70,14 +73,15 @@
                             .setKeepAliveTimeout(KEEP_ALIVE_SECONDS)
                             .setDecompressionSupported(false)
                             .setTcpNoDelay(true))
-                    .with(new PoolOptions().setHttp1MaxSize(Math.max(LEAST_CONNECTIONS, share)))
-                    .withConnectHandler(connection -> connection.exceptionHandler(e -> failed.add(connection)))
+                    .with(new PoolOptions().setHttp1MaxSize(Math.max(MIN_CONNECTIONS, share)))
+                    .withConnectHandler(
+                            connection -> connection.exceptionHandler(e -> failedConnections.add(connection)))
                     .build();
         });
     }
 
     /**
-     * Takes a connection for a request. Nothing is sent before {@link #send}.
+     * Obtains a connection for a request. Nothing is sent before {@link #send}.
      *
      * @throws StepException with outcome {@code NOT_RUN} if there is no connection in time
      */
@@ -106,20 +110,20 @@
     }
 
     /**
-     * Sends a request and waits for the head of the answer, which is returned paused.
+     * Sends a request and waits for the head of the response, which is returned paused.
      *
-     * @param onSent given the way to break the exchange off, as soon as the request is on its way
+     * @param onSent receives the action that cancels the exchange, as soon as the request is being sent
      * @throws StepException with outcome {@code UNKNOWN} if no head arrives in time
      */
     HttpClientResponse send(HttpClientRequest request, Buffer body, Duration limit, Consumer<Runnable> onSent) {
-        Future<HttpClientResponse> answer = (body.length() == 0 && !mayHaveBody(request)
+        Future<HttpClientResponse> responseFuture = (body.length() == 0 && !methodAllowsBody(request)
                         ? request.send()
                         : request.send(body))
                 .onSuccess(response -> response.exceptionHandler(e -> {}).pause());
         onSent.accept(request::reset);
         String peer = String.valueOf(request.connection().remoteAddress());
         try {
-            return TimedAwait.await(answer, limit);
+            return TimedAwait.await(responseFuture, limit);
         } catch (TimeoutException e) {
             request.reset();
             String message = "no answer within " + limit.toMillis() + " ms";
@@ -130,21 +134,21 @@
         }
     }
 
-    private static boolean mayHaveBody(HttpClientRequest request) {
+    private static boolean methodAllowsBody(HttpClientRequest request) {
         HttpMethod method = request.getMethod();
         return method.equals(HttpMethod.POST) || method.equals(HttpMethod.PUT) || method.equals(HttpMethod.PATCH);
     }
 
     /**
-     * Tells whether an answer that ended with its connection may lack something. A body without a length ends in the
-     * same way when its connection is reset; the failure is reported on its own, at about the same time.
+     * Returns whether a response that ended with its connection may be incomplete. A body without a length ends in the
+     * same way when its connection is reset; the failure is reported separately, at about the same time.
      */
-    boolean isDoubtful(HttpClientResponse answer) {
-        MultiMap headers = answer.headers();
+    boolean isPossiblyIncomplete(HttpClientResponse response) {
+        MultiMap headers = response.headers();
         if (headers.contains(HttpHeaders.CONTENT_LENGTH) || headers.contains(HttpHeaders.TRANSFER_ENCODING)) {
             return false;
         }
-        TimedAwait.pause(vertx, FAILURE_REPORT);
-        return failed.contains(answer.request().connection());
+        TimedAwait.pause(vertx, FAILURE_REPORT_DELAY);
+        return failedConnections.contains(response.request().connection());
     }
 }
--- /dev/null
+++ b/forward/src/main/java/org/verbenatally/forward/TargetState.java
@@ -0,0 +1,235 @@
+package org.verbenatally.forward;
+
+import java.time.Duration;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+
+import org.verbenatally.core.InstanceId;
+
+/**
+ * State of one target: its published description, the load of this instance and its peers there, and recent failures.
+ */
+final class TargetState {
+    /** A target that could not be reached is tried again after this time, which doubles with each further failure. */
+    private static final Duration FIRST_SUSPENSION = Duration.ofMillis(500);
+
+    private static final Duration MAX_SUSPENSION = Duration.ofSeconds(4);
+    /** Successful responses that are assumed beforehand, so that a single failure does not exclude a target. */
+    private static final int PRIOR_SUCCESSES = 9;
+
+    private volatile ForwardTarget target;
+    private volatile boolean unpublished;
+    private volatile long revision;
+    private final Runnable onLoadChange;
+    private final Set<InFlightRequest> inFlightRequests = ConcurrentHashMap.newKeySet();
+    private final Set<InFlightRequest> copies = ConcurrentHashMap.newKeySet();
+    private final Map<InstanceId, PeerLoad> peerLoads = new HashMap<>();
+    private volatile PeerLoad peerTotal = PeerLoad.NONE;
+    private long suspendedUntil;
+    private boolean suspended;
+    private boolean suspected;
+    private Duration suspension = FIRST_SUSPENSION;
+    private final RecentOutcomes outcomes = new RecentOutcomes();
+
+    /**
+     * Load of a peer at a target, and the failures that it has seen there.
+     *
+     * @param requests requests in flight
+     * @param tokens memory that they are expected to need, in tokens
+     * @param unreadTokens prompt tokens among them that the target has probably not read yet
+     * @param failures requests that the target failed recently
+     * @param responses requests that it responded to in the same time, the failed ones included; 0 if it failed none
+     */
+    record PeerLoad(int requests, long tokens, long unreadTokens, int failures, int responses) {
+        static final PeerLoad NONE = new PeerLoad(0, 0, 0, 0, 0);
+
+        private PeerLoad plus(PeerLoad other, int sign) {
+            return new PeerLoad(
+                    requests + sign * other.requests,
+                    tokens + sign * other.tokens,
+                    unreadTokens + sign * other.unreadTokens,
+                    failures + sign * other.failures,
+                    responses + sign * other.responses);
+        }
+    }
+
+    /**
+     * Creates the state of a target without load.
+     *
+     * @param revision revision of the published list at which the target was written
+     * @param onLoadChange called whenever the load of this instance at the target changes
+     */
+    TargetState(ForwardTarget target, long revision, Runnable onLoadChange) {
+        this.target = Objects.requireNonNull(target, "target");
+        this.revision = revision;
+        this.onLoadChange = Objects.requireNonNull(onLoadChange, "onLoadChange");
+    }
+
+    ForwardTarget target() {
+        return target;
+    }
+
+    /** Returns the revision of the published list up to which the target is known. */
+    long revision() {
+        return revision;
+    }
+
+    /** Records the target as it was published at a revision. */
+    void publish(ForwardTarget published, long atRevision) {
+        if (!published.isSameRun(target)) {
+            onRestart();
+        }
+        target = published;
+        unpublished = false;
+        revision = atRevision;
+    }
+
+    /** Records that the published list no longer contains the target at a revision. */
+    void unpublish(long atRevision) {
+        unpublished = true;
+        revision = atRevision;
+    }
+
+    boolean isUnpublished() {
+        return unpublished;
+    }
+
+    boolean isLeaving() {
+        return unpublished || target.leaving();
+    }
+
+    void addInFlight(InFlightRequest inFlight) {
+        inFlightRequests.add(inFlight);
+        reportLoadChange(inFlight);
+    }
+
+    void removeInFlight(InFlightRequest inFlight) {
+        inFlightRequests.remove(inFlight);
+        reportLoadChange(inFlight);
+    }
+
+    void reserveCopy(InFlightRequest inFlight) {
+        copies.add(inFlight);
+        reportLoadChange(inFlight);
+    }
+
+    void releaseCopy(InFlightRequest inFlight) {
+        copies.remove(inFlight);
+        reportLoadChange(inFlight);
+    }
+
+    /**
+     * Reports a change of load to the peers. Requests to plain services are not reported: they end before the report
+     * arrives.
+     */
+    void reportLoadChange(InFlightRequest inFlight) {
+        if (inFlight.isGeneration()) {
+            onLoadChange.run();
+        }
+    }
+
+    List<InFlightRequest> inFlightRequests() {
+        return List.copyOf(inFlightRequests);
+    }
+
+    int ownRequests() {
+        return inFlightRequests.size();
+    }
+
+    long ownTokens() {
+        return inFlightRequests.stream()
+                        .mapToLong(InFlightRequest::expectedMemory)
+                        .sum()
+                + copies.stream().mapToLong(InFlightRequest::expectedMemory).sum();
+    }
+
+    long unreadTokens() {
+        return inFlightRequests.stream()
+                .mapToLong(InFlightRequest::unreadTokens)
+                .sum();
+    }
+
+    synchronized void updatePeerLoad(InstanceId peer, PeerLoad load) {
+        PeerLoad before = load.equals(PeerLoad.NONE) ? peerLoads.remove(peer) : peerLoads.put(peer, load);
+        peerTotal = peerTotal.plus(load, 1).plus(before == null ? PeerLoad.NONE : before, -1);
+    }
+
+    int peerRequests() {
+        return peerTotal.requests();
+    }
+
+    long peerTokens() {
+        return peerTotal.tokens();
+    }
+
+    long peerUnreadTokens() {
+        return peerTotal.unreadTokens();
+    }
+
+    /** Suspends the target, which could not be reached or stopped sending data. */
+    synchronized void onUnreachable(long now) {
+        suspended = true;
+        suspendedUntil = now + suspension.toNanos();
+        suspension = suspension.multipliedBy(2);
+        if (suspension.compareTo(MAX_SUSPENSION) > 0) {
+            suspension = MAX_SUSPENSION;
+        }
+    }
+
+    /** Records a complete response, or the loss of one; failures are reported to the other instances. */
+    void recordOutcome(boolean failure, long now) {
+        outcomes.add(failure, now);
+        if (failure) {
+            onLoadChange.run();
+        } else {
+            markHealthy();
+        }
+    }
+
+    private synchronized void markHealthy() {
+        suspected = false;
+        suspended = false;
+        suspension = FIRST_SUSPENSION;
+    }
+
+    /**
+     * Marks the target as suspected of having died. Returns whether to check it: not while a check is running, and not
+     * again after it has died, until it has responded or restarted.
+     */
+    synchronized boolean trySuspect() {
+        boolean isNew = !suspected;
+        suspected = true;
+        return isNew;
+    }
+
+    /** Records that the target was found to accept connections. */
+    synchronized void onListening() {
+        suspected = false;
+    }
+
+    private void onRestart() {
+        markHealthy();
+        outcomes.reset();
+    }
+
+    /** Returns the recent outcomes that this instance has seen. */
+    RecentOutcomes outcomes() {
+        return outcomes;
+    }
+
+    /** Returns the share of recent requests that the target failed, 0 to 1, as seen by all instances. */
+    double failureShare(long now) {
+        PeerLoad peerTotals = peerTotal;
+        int failures = outcomes.failures(now) + peerTotals.failures();
+        int responses = outcomes.responses(now) + peerTotals.responses();
+        return (double) failures / (responses + PRIOR_SUCCESSES);
+    }
+
+    synchronized boolean isSuspended(long now) {
+        return suspended && now - suspendedUntil < 0;
+    }
+}
--- a/forward/src/test/java/org/verbenatally/forward/BodyMemoryTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/BodyMemoryTest.java
@@ -6,14 +6,14 @@
 
 class BodyMemoryTest {
 
-    /** Guards against memory that is lost with each refused body, until no request is taken any more. */
+    /** Guards against memory that is lost with each refused body, until no request is accepted any more. */
     @Test
-    void refusedBytesAreNotTaken() {
+    void refusedBytesAreNotReserved() {
         BodyMemory memory = new BodyMemory(100);
-        assertThat(memory.take(80)).isTrue();
-        assertThat(memory.take(30)).isFalse();
-        assertThat(memory.take(20)).isTrue();
-        memory.giveBack(100);
-        assertThat(memory.taken()).isZero();
+        assertThat(memory.reserve(80)).isTrue();
+        assertThat(memory.reserve(30)).isFalse();
+        assertThat(memory.reserve(20)).isTrue();
+        memory.release(100);
+        assertThat(memory.reserved()).isZero();
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -29,7 +29,7 @@
 import org.verbenatally.peer.PeerTimings;
 import org.verbenatally.time.SystemTimerService;
 
-/** A forwarding instance on loopback with raw targets. It has one route for each kind of repetition. */
+/** A forwarding instance on loopback with raw targets and one route for each kind of repetition. */
 final class ForwardFixture implements AutoCloseable {
     static final ServiceName CALLS = new ServiceName("calls");
     static final ServiceName ENGINES = new ServiceName("engines");
@@ -43,11 +43,11 @@
     private final AtomicReference<ForwardDeployment> deployment = new AtomicReference<>();
 
     ForwardFixture() throws IOException {
-        callers = free();
+        callers = unusedAddress();
         server = new ForwardServer(
                 new ForwardOptions(
                         callers,
-                        free(),
+                        unusedAddress(),
                         "/ready",
                         Optional.empty(),
                         peers(),
@@ -65,14 +65,14 @@
     }
 
     private static PeerOptions peers() throws IOException {
-        Address a = free();
+        Address address = unusedAddress();
         return new PeerOptions(
                 new InstanceId("one"),
                 new FailureDomain("here"),
                 "region",
                 ForwardDeployment.NAME,
-                a.host(),
-                a.port(),
+                address.host(),
+                address.port(),
                 Optional.empty(),
                 List.of(),
                 Optional.empty(),
@@ -81,13 +81,13 @@
                 PeerTimings.standard().dividedBy(20));
     }
 
-    private static Address free() throws IOException {
+    private static Address unusedAddress() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return new Address(socket.getInetAddress().getHostAddress(), socket.getLocalPort());
         }
     }
 
-    /** Puts a configuration in force, whose credentials are {@code key-N} of organisation {@code org-N}. */
+    /** Puts a configuration in force; the credential {@code K} belongs to organisation {@code org-K}. */
     void configure(long version, String... keys) throws InterruptedException {
         Map<String, OrganisationId> credentials = new java.util.HashMap<>();
         for (String key : keys) {
@@ -106,8 +106,8 @@
                 credentials,
                 new ForwardDeployment.CallerLimits(8_192, 65_536)));
         server.offerConfig("test", Long.toString(version).getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        long until = System.nanoTime() + Duration.ofSeconds(20).toNanos();
-        while (server.version() < version && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + Duration.ofSeconds(20).toNanos();
+        while (server.version() < version && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
     }
@@ -132,19 +132,19 @@
         publish(id, service, target, 0);
     }
 
-    /** Publishes one more target, which is avoided as long as it says that it is cold. */
+    /** Publishes one more target, which is avoided while it is published as cold. */
     void publish(String id, ServiceName service, RawTarget target, long coldMs) {
-        targets.add(entry(id, service, target.address(), false, coldMs));
+        targets.add(target(id, service, target.address(), false, coldMs));
         server.directory().published(Targets.list(targets));
     }
 
-    private static ForwardTarget entry(String id, ServiceName service, Address address, boolean leaving, long coldMs) {
+    private static ForwardTarget target(String id, ServiceName service, Address address, boolean leaving, long coldMs) {
         return new ForwardTarget(new TargetId(id), 1, service, address, new FailureDomain("here"), 4, leaving, coldMs);
     }
 
     /** Publishes that a target leaves. */
     void leave(String id) {
-        targets.replaceAll(t -> t.id().value().equals(id) ? entry(id, t.service(), t.address(), true, 0) : t);
+        targets.replaceAll(t -> t.id().value().equals(id) ? target(id, t.service(), t.address(), true, 0) : t);
         server.directory().published(Targets.list(targets));
     }
 
@@ -158,12 +158,12 @@
         return client.send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Sends a request without waiting for its answer. */
+    /** Sends a request without waiting for the response. */
     CompletableFuture<HttpResponse<String>> sendLater(HttpRequest request) {
         return client.sendAsync(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    /** Sends a request and returns the answer as soon as its head is there. */
+    /** Sends a request and returns the response as soon as its head has arrived. */
     HttpResponse<InputStream> open(HttpRequest request) throws IOException, InterruptedException {
         return client.send(request, HttpResponse.BodyHandlers.ofInputStream());
     }
--- a/forward/src/test/java/org/verbenatally/forward/ForwardProtocolTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardProtocolTest.java
@@ -9,7 +9,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.verbenatally.forward.ForwardFixture.CALLS;
 
-/** Requests on one connection that are framed in unusual or forbidden ways. */
+/** Requests with unusual or forbidden framing on one connection. */
 class ForwardProtocolTest {
     private ForwardFixture fixture;
     private RawTarget target;
@@ -40,7 +40,7 @@
                 + "\r\n" + TestCodec.PATIENCE + ": 3000\r\n" + framing + "\r\n";
     }
 
-    /** Guards against a request that a caller hides in the body of another one. */
+    /** Guards against request smuggling: a caller hides a request in the body of another one. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -50,24 +50,24 @@
                 "Transfer-Encoding: xchunked\r\n",
                 "Transfer-Encoding: chunked, identity\r\n"
             })
-    void hiddenRequestDoesNotRun(String framing) throws Exception {
+    void smuggledRequestIsNotRun(String framing) throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "outer", framing) + "0\r\n\r\n" + head("GET", "hidden", ""));
-            String answer = caller.read("hidden;");
-            assertThat(answer).doesNotContain("hidden;");
+            String response = caller.read("hidden;");
+            assertThat(response).doesNotContain("hidden;");
         }
         assertThat(target.requests())
-                .noneMatch(seen -> RawTarget.header(seen, TestCodec.ID).equals("hidden"));
+                .noneMatch(head -> RawTarget.header(head, TestCodec.ID).equals("hidden"));
     }
 
-    /** Guards against a body whose length a target reads in another way than the instance. */
+    /** Guards against a body whose length a target reads differently from the instance. */
     @ParameterizedTest
     @ValueSource(
             strings = {
                 "Content-Length: 50\r\nTransfer-Encoding: chunked\r\n",
                 "Transfer-Encoding: chunked\r\nContent-Length: 50\r\n"
             })
-    void lengthBesideChunksIsNotPassedOn(String framing) throws Exception {
+    void contentLengthBesideChunkedIsNotForwarded(String framing) throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "outer", framing) + "3\r\nabc\r\n0\r\n\r\n" + head("GET", "next", ""));
             assertThat(caller.read("next;")).contains("outer;").endsWith("next;");
@@ -81,7 +81,7 @@
     /** Guards against chunk sizes that two parsers read differently. */
     @ParameterizedTest
     @ValueSource(strings = {"0x3", "-3", "+3", "zz"})
-    void oddChunkSizesAreRejected(String size) throws Exception {
+    void malformedChunkSizesAreRejected(String size) throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "outer", "Transfer-Encoding: chunked\r\n") + size + "\r\nabc\r\n0\r\n\r\n");
             assertThat(caller.read("outer;")).doesNotContain("outer;");
@@ -89,21 +89,21 @@
         assertThat(target.requests()).isEmpty();
     }
 
-    /** Guards against answers that change places when a caller does not wait between its requests. */
+    /** Guards against responses in the wrong order when a caller does not wait between its requests. */
     @Test
-    void answersKeepTheOrderOfTheirRequests() throws Exception {
+    void pipelinedResponsesKeepRequestOrder() throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("GET", "one", "") + head("POST", "two", "Transfer-Encoding: chunked\r\n")
                     + "3\r\nabc\r\n0\r\n\r\n" + head("GET", "three", ""));
-            String answers = caller.read("three;");
-            assertThat(answers.indexOf("one;")).isPositive().isLessThan(answers.indexOf("two;"));
-            assertThat(answers).endsWith("three;");
+            String responses = caller.read("three;");
+            assertThat(responses.indexOf("one;")).isPositive().isLessThan(responses.indexOf("two;"));
+            assertThat(responses).endsWith("three;");
         }
     }
 
-    /** Guards against a request that is forwarded although its caller broke it off. */
+    /** Guards against forwarding a request that its caller broke off. */
     @Test
-    void halfARequestDoesNotRun() throws Exception {
+    void truncatedRequestIsNotForwarded() throws Exception {
         try (var caller = new RawCaller(fixture.callers)) {
             caller.write(head("POST", "half", "Content-Length: 10\r\n") + "12345");
         }
--- a/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
@@ -13,40 +13,40 @@
     private final ManualTimer timer = new ManualTimer();
     private final Shutdown shutdown = new Shutdown(timer, Duration.ofSeconds(8));
 
-    private boolean acceptsCall() {
-        return shutdown.accepts(Repetition.IDEMPOTENT, PATIENCE);
+    private boolean isAcceptingCall() {
+        return shutdown.isAccepting(Repetition.IDEMPOTENT, PATIENCE);
     }
 
-    /** Guards against a call that is taken shortly before the end of the process and cut off by it. */
+    /** Guards against accepting a call shortly before the end of the process, which cuts it off. */
     @Test
-    void lateCallsAreRefused() {
+    void callThatWouldOutliveProcessIsRefused() {
         shutdown.start();
-        assertThat(acceptsCall()).isTrue();
+        assertThat(isAcceptingCall()).isTrue();
         timer.advance(Duration.ofMillis(7_700));
-        assertThat(acceptsCall()).isFalse();
+        assertThat(isAcceptingCall()).isFalse();
     }
 
-    /** Guards against an end while a request is open, and against a request that is read just before the end. */
+    /** Guards against an end while a request is open, or just after one has been read. */
     @Test
-    void endsOnlyWhenNothingIsOpen() {
-        shutdown.begin();
+    void completesOnlyWhenNothingIsOpen() {
+        shutdown.onRequestStart();
         var done = shutdown.start();
         timer.advance(Duration.ofSeconds(4));
         shutdown.check();
         shutdown.check();
         assertThat(done).isNotDone();
-        shutdown.end();
+        shutdown.onRequestEnd();
         shutdown.check();
         assertThat(done).isNotDone();
-        assertThat(acceptsCall()).isFalse();
+        assertThat(isAcceptingCall()).isFalse();
         shutdown.check();
         assertThat(done).isDone();
     }
 
     /** Guards against a process that outlives its grace period and is killed in the middle of a write. */
     @Test
-    void endsBeforeTheGracePeriodIsOver() {
-        shutdown.begin();
+    void completesBeforeGracePeriodEnds() {
+        shutdown.onRequestStart();
         var done = shutdown.start();
         timer.advance(Duration.ofMillis(7_800));
         shutdown.check();
--- a/forward/src/test/java/org/verbenatally/forward/Targets.java
+++ b/forward/src/test/java/org/verbenatally/forward/Targets.java
@@ -8,7 +8,7 @@
 import org.verbenatally.core.ServiceName;
 import org.verbenatally.core.TargetId;
 
-/** Published entries of the tests. */
+/** Published targets for tests. */
 final class Targets {
     static final ServiceName SERVICE = new ServiceName("service");
     static final FailureDomain HERE = new FailureDomain("here");
@@ -17,7 +17,7 @@
 
     private Targets() {}
 
-    /** Returns the entries as a list read later than all before, in which each was written just now. */
+    /** Returns the targets as a list that was read later than all before, in which each target was written just now. */
     static PublishedList list(List<ForwardTarget> targets) {
         long revision = REVISION.incrementAndGet();
         return new PublishedList(
@@ -26,18 +26,18 @@
     }
 
     static ForwardTarget ready(String id) {
-        return entry(id, "here", false);
+        return target(id, "here", false);
     }
 
     static ForwardTarget leaving(String id) {
-        return entry(id, "here", true);
+        return target(id, "here", true);
     }
 
     static ForwardTarget in(String domain, String id) {
-        return entry(id, domain, false);
+        return target(id, domain, false);
     }
 
-    private static ForwardTarget entry(String id, String domain, boolean leaving) {
+    private static ForwardTarget target(String id, String domain, boolean leaving) {
         return new ForwardTarget(
                 new TargetId(id),
                 1,
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -11,7 +11,7 @@
 import io.vertx.core.http.HttpServerRequest;
 import org.verbenatally.core.Address;
 
-/** Headers of the tests, with names of their own. */
+/** Codec for tests, with header names of its own. */
 final class TestCodec implements WireCodec {
     static final String ID = "Test-Id";
     static final String PATIENCE = "Test-Patience";
@@ -53,12 +53,12 @@
     }
 
     @Override
-    public AnswerHead read(HttpClientResponse answer) {
+    public AnswerHead read(HttpClientResponse response) {
         return new AnswerHead(
-                answer.statusCode(),
-                answer.getHeader(NOT_RUN) != null,
-                Optional.ofNullable(answer.getHeader(ID)),
-                answer.getHeader(SIGNED) != null);
+                response.statusCode(),
+                response.getHeader(NOT_RUN) != null,
+                Optional.ofNullable(response.getHeader(ID)),
+                response.getHeader(SIGNED) != null);
     }
 
     @Override
