--- a/core/src/main/java/org/verbenatally/peer/ConfigSpreader.java
+++ b/core/src/main/java/org/verbenatally/peer/ConfigPropagator.java
@@ -31,30 +31,32 @@
 import org.verbenatally.wire.PeerFrame;
 
 /**
- * Puts the highest valid document that the platform or a peer offers in force, and never a lower one. Until the
- * platform and the known peers were asked, documents are only collected: the platform may serve an old copy to an
- * instance whose earlier run had a higher version in force.
+ * Puts the highest valid document offered by the platform or a peer in force, and never goes back to a lower one. Until
+ * the platform and the known peers have been asked, documents are only collected: the platform may serve an old copy to
+ * an instance whose earlier run had a higher version in force.
  */
-final class ConfigSpreader<D extends VersionedDeployment> {
-    private static final Logger LOG = Logger.getLogger(ConfigSpreader.class);
+final class ConfigPropagator<D extends VersionedDeployment> {
+    private static final Logger LOG = Logger.getLogger(ConfigPropagator.class);
 
-    /** Rejected documents that are remembered, so that they are not fetched again from each peer. */
+    /** Number of rejected documents that are remembered, so that they are not fetched again from each peer. */
     private static final int MAX_REJECTED = 64;
 
-    /** A delta is sent if it is this many times smaller than the document, which compresses about as well. */
+    /**
+     * A delta is sent only if it is this many times smaller than the document, which compresses by about that factor.
+     */
     private static final int MIN_DELTA_GAIN = 8;
 
     private final String deployment;
     private final PeerTimings timings;
     private final TimerService timers;
     private final ConfigHolder<D> inForce;
-    /** The highest document seen, which is in force once the instance has asked its peers. */
-    private final ConfigHolder<D> seen = new ConfigHolder<>();
+    /** The highest document seen; it is put in force once the platform and the peers have been asked. */
+    private final ConfigHolder<D> highestSeen = new ConfigHolder<>();
 
     private final Consumer<ConfigDocumentInForce<D>> onAccepted;
     private final DocumentReader<D> reader;
     private final List<Consumer<D>> listeners = new CopyOnWriteArrayList<>();
-    private final Set<String> rejected = Collections.newSetFromMap(new Lru());
+    private final Set<String> rejected = Collections.newSetFromMap(new BoundedMap());
     private final AtomicLong conflicts = new AtomicLong();
     private final AtomicLong rejections = new AtomicLong();
     private final AtomicLong fetches = new AtomicLong();
@@ -63,14 +65,14 @@
     private String lastConflict = "";
     private volatile boolean started;
     private volatile Fetch fetch;
-    private volatile Base previous;
+    private volatile BaseDocument previous;
 
-    /** The document that was in force before, for peers that still have it; its bytes only, as memory is bounded. */
-    private record Base(byte[] digest, byte[] body) {}
+    /** The previous document, as the base of deltas for peers that still have it. Only its bytes, to save memory. */
+    private record BaseDocument(byte[] digest, byte[] body) {}
 
     private record Fetch(Link link, long until) {}
 
-    private static final class Lru extends LinkedHashMap<String, Boolean> {
+    private static final class BoundedMap extends LinkedHashMap<String, Boolean> {
         private static final long serialVersionUID = 1;
 
         @Override
@@ -79,7 +81,7 @@
         }
     }
 
-    ConfigSpreader(
+    ConfigPropagator(
             PeerOptions options,
             TimerService timers,
             ConfigHolder<D> holder,
@@ -93,17 +95,17 @@
         this.onAccepted = onAccepted;
     }
 
-    void listen(Consumer<D> listener) {
+    void addListener(Consumer<D> listener) {
         listeners.add(listener);
         inForce.deployment().ifPresent(listener);
     }
 
     private Optional<ConfigDocumentInForce<D>> highest() {
-        inForce.document().ifPresent(seen::offer);
-        return seen.document();
+        inForce.document().ifPresent(highestSeen::offer);
+        return highestSeen.document();
     }
 
-    /** Returns the highest valid version seen, 0 if there is none. */
+    /** Returns the highest valid version seen, or 0 if there is none. */
     long version() {
         return highest().map(d -> d.deployment().version().value()).orElse(0L);
     }
@@ -133,7 +135,7 @@
         return f != null && !f.link().isClosed() && timers.nanos() - f.until() < 0;
     }
 
-    /** Asks a peer for its document if it has a higher one. */
+    /** Requests the document of a peer that reports a higher one. */
     void onPeerVersion(Link link, long version, byte[] digest) {
         if (version == 0 || !isHigher(version, digest)) {
             return;
@@ -142,7 +144,8 @@
             if (isFetching() || rejected.contains(HexFormat.of().formatHex(digest))) {
                 return;
             }
-            fetch = new Fetch(link, timers.nanos() + timings.startAsk().toNanos());
+            fetch = new Fetch(
+                    link, timers.nanos() + timings.startupQueryTimeout().toNanos());
         }
         fetches.incrementAndGet();
         var request = new ConfigRequest(version());
@@ -151,19 +154,19 @@
     }
 
     private boolean isHigher(long version, byte[] digest) {
-        Optional<ConfigDocumentInForce<D>> own = highest();
-        if (own.isEmpty() || version > own.get().deployment().version().value()) {
+        Optional<ConfigDocumentInForce<D>> known = highest();
+        if (known.isEmpty() || version > known.get().deployment().version().value()) {
             return true;
         }
-        byte[] ownDigest = own.get().digest();
-        boolean conflict = version == own.get().deployment().version().value() && !Arrays.equals(digest, ownDigest);
+        byte[] knownDigest = known.get().digest();
+        boolean conflict = version == known.get().deployment().version().value() && !Arrays.equals(digest, knownDigest);
         if (conflict) {
-            noteConflict(version, digest, ownDigest);
+            reportConflict(version, digest, knownDigest);
         }
-        return conflict && Arrays.compareUnsigned(digest, ownDigest) > 0;
+        return conflict && Arrays.compareUnsigned(digest, knownDigest) > 0;
     }
 
-    private synchronized void noteConflict(long version, byte[] a, byte[] b) {
+    private synchronized void reportConflict(long version, byte[] a, byte[] b) {
         String first = HexFormat.of().formatHex(a);
         String second = HexFormat.of().formatHex(b);
         String pair = first.compareTo(second) < 0 ? first + second : second + first;
@@ -177,16 +180,16 @@
         }
     }
 
-    /** Answers a peer that asks for the document in force, with a delta if the peer's document is known here. */
+    /** Responds to a peer's request with the highest document, or with a delta if the peer has the previous one. */
     void onRequest(Link link, ConfigRequest request) {
         highest()
                 .filter(d -> d.deployment().version().value() >= request.getNewerThan())
-                .ifPresent(d -> link.send(answer(d, request)));
+                .ifPresent(d -> link.send(response(d, request)));
     }
 
-    private PeerFrame answer(ConfigDocumentInForce<D> d, ConfigRequest request) {
+    private PeerFrame response(ConfigDocumentInForce<D> d, ConfigRequest request) {
         long version = d.deployment().version().value();
-        Base base = previous;
+        BaseDocument base = previous;
         if (base != null && request.isSetBaseDigest() && Arrays.equals(base.digest(), request.getBaseDigest())) {
             List<DeltaPart> parts = DocumentDelta.between(base.body(), d.body());
             if (DocumentDelta.size(parts) < d.body().length / MIN_DELTA_GAIN) {
@@ -198,7 +201,9 @@
                 version, ByteBuffer.wrap(d.digest()), ByteBuffer.wrap(FrameCodec.deflate(d.body()))));
     }
 
-    /** Takes the difference to the own document; asks for the whole one if that has changed in the meantime. */
+    /**
+     * Applies a delta to the document known here; requests the complete document if that has changed in the meantime.
+     */
     void onDelta(Link link, ConfigDelta delta) throws BadFrameException {
         Optional<ConfigDocumentInForce<D>> base =
                 highest().filter(d -> Arrays.equals(d.digest(), delta.getBaseDigest()));
@@ -208,18 +213,18 @@
         }
         byte[] body = DocumentDelta.apply(base.get().body(), delta.getParts(), ConfigReader.MAX_BYTES);
         deltas.incrementAndGet();
-        take(link, delta.getVersion(), delta.getDigest(), body);
+        receive(link, delta.getVersion(), delta.getDigest(), body);
     }
 
-    /** Takes the document of a peer; throws if it is not what its digest says, which closes the link. */
+    /** Receives a peer's document; throws an exception, which closes the link, if it does not match its digest. */
     void onDocument(Link link, ConfigDocument document) throws BadFrameException {
         byte[] body = FrameCodec.inflate(document.getBody(), ConfigReader.MAX_BYTES);
-        take(link, document.getVersion(), document.getDigest(), body);
+        receive(link, document.getVersion(), document.getDigest(), body);
     }
 
-    private void take(Link link, long version, byte[] digest, byte[] body) {
+    private void receive(Link link, long version, byte[] digest, byte[] body) {
         if (!Arrays.equals(ConfigReader.digest(body), digest)) {
-            throw new IllegalArgumentException("document of version " + version + " has another digest");
+            throw new IllegalArgumentException("digest of document version " + version + " does not match its content");
         }
         try {
             offer("peer " + link, body);
@@ -231,15 +236,15 @@
         }
     }
 
-    /** Checks a document and puts it in force if it is higher; returns whether it is valid. */
+    /** Validates a document and, if it is higher than the present one, adopts it; returns whether it is valid. */
     boolean offer(String source, byte[] body) {
         byte[] digest = ConfigReader.digest(body);
         if (highest().filter(d -> Arrays.equals(d.digest(), digest)).isPresent()) {
             return true;
         }
-        String hex = HexFormat.of().formatHex(digest);
+        String digestHex = HexFormat.of().formatHex(digest);
         synchronized (this) {
-            if (rejected.contains(hex)) {
+            if (rejected.contains(digestHex)) {
                 return false;
             }
         }
@@ -249,11 +254,11 @@
                 throw new ConfigException(
                         source, List.of(new ConfigException.Fault(0, "/deployment", "must be \"" + deployment + "\"")));
             }
-            // Notes a conflict if there is one; the holder decides again under its own lock.
+            // Called to report a conflict, if any; the holder compares the documents again under its own lock.
             isHigher(document.deployment().version().value(), digest);
             ConfigDocumentInForce<D> before = highest().orElse(null);
-            if (seen.offer(document)) {
-                previous = before == null ? null : new Base(before.digest(), before.body());
+            if (highestSeen.offer(document)) {
+                previous = before == null ? null : new BaseDocument(before.digest(), before.body());
                 LOG.infof(
                         "config: read version %s from %s", document.deployment().version(), source);
                 if (started) {
@@ -263,16 +268,16 @@
             return true;
         } catch (ConfigException e) {
             synchronized (this) {
-                rejected.add(hex);
+                rejected.add(digestHex);
             }
             rejections.incrementAndGet();
             lastFault = e.getMessage();
-            LOG.errorf("config: document rejected, the one in force stays: %s", e.getMessage());
+            LOG.errorf("config: rejected a document, the one in force is kept: %s", e.getMessage());
             return false;
         }
     }
 
-    /** Ends the collection at the start and puts the highest document in force. */
+    /** Ends the collection of documents at startup and puts the highest one in force. */
     void start() {
         started = true;
         highest().ifPresent(this::putInForce);
@@ -286,7 +291,7 @@
         }
     }
 
-    /** Reads from the platform once; returns whether the read succeeded. */
+    /** Reads the configuration from the platform once; returns whether the read succeeded. */
     boolean read(PlatformClient platform, Duration wait) throws InterruptedException {
         try {
             platform.config(version(), wait).get().ifPresent(body -> offer("platform", body));
--- a/core/src/main/java/org/verbenatally/peer/Forwarder.java
+++ b/core/src/main/java/org/verbenatally/peer/Forwarder.java
@@ -14,7 +14,7 @@
 import org.verbenatally.core.Outcome;
 import org.verbenatally.core.Step;
 import org.verbenatally.core.StepException;
-import org.verbenatally.peer.MemberRow.Run;
+import org.verbenatally.peer.MemberRecord.Run;
 import org.verbenatally.time.TimerService;
 import org.verbenatally.wire.ForwardCall;
 import org.verbenatally.wire.ForwardResult;
@@ -22,15 +22,18 @@
 import org.verbenatally.wire.KeyTransferAck;
 import org.verbenatally.wire.PeerFrame;
 
-/** Forwards calls to the owner of a key and transfers key tables. Each exchange is one virtual thread. */
+/** Forwards calls to the owner of a key and transfers key tables, each in a virtual thread of its own. */
 final class Forwarder {
-    /** Connections tried for one exchange. The owner runs a key once, so a call may be sent to it again. */
+    /** Number of connections tried. A retry is safe because the owner runs the call of a key only once. */
     private static final int MAX_ATTEMPTS = 3;
 
-    /** An instance that has just started hears of past runs with the gossip of its peers, 500 ms apart. */
-    private static final Duration OWNER_NEWS = Duration.ofMillis(1_100);
+    /**
+     * How long to wait until the owner is known. An instance that has just started receives the records of earlier runs
+     * from its peers, which send gossip every 500 ms.
+     */
+    private static final Duration MAX_OWNER_WAIT = Duration.ofMillis(1_100);
 
-    private static final Duration OWNER_CHECK = Duration.ofMillis(20);
+    private static final Duration OWNER_CHECK_PERIOD = Duration.ofMillis(20);
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     private final Run self;
@@ -41,10 +44,10 @@
     private final AtomicLong callIds = new AtomicLong();
     private volatile Run lastTransferredTo;
 
-    /** One try over one link. */
+    /** One attempt over one link. */
     @FunctionalInterface
-    private interface Exchange<T> {
-        T over(Link link, long nanos) throws ExecutionException, InterruptedException, TimeoutException;
+    private interface LinkAction<T> {
+        T run(Link link, long nanos) throws ExecutionException, InterruptedException, TimeoutException;
     }
 
     Forwarder(Run self, Membership membership, Links links, TimerService timers, PeerHandler handler) {
@@ -70,25 +73,25 @@
     }
 
     private ForwardResult forwardNow(Run owner, ForwardCall call, Duration timeout) {
-        MemberRow known = awaitOwner(owner, timeout);
+        MemberRecord known = awaitOwner(owner, timeout);
         if (known.run().equals(self)) {
-            return attempt(
+            return runBounded(
                     owner,
                     timeout,
                     n -> handler.onForward(self.instance(), call).get(n, TimeUnit.NANOSECONDS));
         }
         return overLink(owner, timeout, (link, nanos) -> {
             long id = callIds.incrementAndGet();
-            var answer = new CompletableFuture<ForwardResult>();
-            link.calls.put(id, answer);
+            var response = new CompletableFuture<ForwardResult>();
+            link.calls.put(id, response);
             try {
                 if (!link.send(PeerFrame.forwardCall(call.deepCopy().setCallId(id)))) {
                     link.close("cannot send");
                 }
                 if (link.isClosed()) {
-                    answer.completeExceptionally(new Link.LinkClosedException("link was closed"));
+                    response.completeExceptionally(new Link.LinkClosedException("link was closed"));
                 }
-                return answer.get(nanos, TimeUnit.NANOSECONDS).deepCopy().setCallId(call.getCallId());
+                return response.get(nanos, TimeUnit.NANOSECONDS).deepCopy().setCallId(call.getCallId());
             } finally {
                 link.calls.remove(id);
                 link.lastUsed = timers.nanos();
@@ -96,12 +99,12 @@
         });
     }
 
-    private MemberRow awaitOwner(Run owner, Duration timeout) {
-        long until = timers.nanos() + Math.min(OWNER_NEWS.toNanos(), timeout.toNanos() / 2);
-        Optional<MemberRow> known = membership.keyOwner(owner);
+    private MemberRecord awaitOwner(Run owner, Duration timeout) {
+        long until = timers.nanos() + Math.min(MAX_OWNER_WAIT.toNanos(), timeout.toNanos() / 2);
+        Optional<MemberRecord> known = membership.keyOwner(owner);
         while (known.isEmpty() && timers.nanos() - until < 0) {
             try {
-                TimeUnit.NANOSECONDS.sleep(OWNER_CHECK.toNanos());
+                TimeUnit.NANOSECONDS.sleep(OWNER_CHECK_PERIOD.toNanos());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 throw failure(owner, "was interrupted", e);
@@ -113,11 +116,12 @@
 
     CompletableFuture<Void> transfer(InstanceId successor, List<KeyTransfer> parts, Duration timeout) {
         var result = new CompletableFuture<Void>();
-        Run to = membership.current(successor).map(MemberRow::run).orElse(new Run(successor, self.incarnation()));
+        Run destination =
+                membership.latestRun(successor).map(MemberRecord::run).orElse(new Run(successor, self.incarnation()));
         Thread.ofVirtual().name("transfer").start(() -> {
             try {
-                overLink(to, timeout, (link, nanos) -> send(link, parts, nanos));
-                lastTransferredTo = to;
+                overLink(destination, timeout, (link, nanos) -> send(link, parts, nanos));
+                lastTransferredTo = destination;
                 result.complete(null);
             } catch (StepException e) {
                 result.completeExceptionally(e);
@@ -146,38 +150,38 @@
         }
     }
 
-    /** Tries an exchange with the run that answers for a key, on up to {@link #MAX_ATTEMPTS} connections. */
-    private <T> T overLink(Run owner, Duration timeout, Exchange<T> exchange) {
-        return attempt(owner, timeout, nanos -> {
+    /** Runs an action on a link to the run that owns the keys, with up to {@link #MAX_ATTEMPTS} connections. */
+    private <T> T overLink(Run owner, Duration timeout, LinkAction<T> action) {
+        return runBounded(owner, timeout, nanos -> {
             long until = timers.nanos() + nanos;
-            ExecutionException last = null;
+            ExecutionException lastFailure = null;
             for (int i = 0; i < MAX_ATTEMPTS; i++) {
-                MemberRow to = membership.keyOwner(owner).orElseThrow(() -> unknownOwner(owner));
+                MemberRecord destination = membership.keyOwner(owner).orElseThrow(() -> unknownOwner(owner));
                 try {
-                    Link link = links.linkTo(to).get(until - timers.nanos(), TimeUnit.NANOSECONDS);
+                    Link link = links.linkTo(destination).get(until - timers.nanos(), TimeUnit.NANOSECONDS);
                     link.lastUsed = timers.nanos();
-                    if (!to.run().equals(link.peer())) {
+                    if (!destination.run().equals(link.peer())) {
                         throw failure(owner, "instance runs as another incarnation", null);
                     }
-                    return exchange.over(link, until - timers.nanos());
+                    return action.run(link, until - timers.nanos());
                 } catch (ExecutionException e) {
-                    last = e;
+                    lastFailure = e;
                 }
             }
-            throw last;
+            throw lastFailure;
         });
     }
 
     @FunctionalInterface
-    private interface Attempt<T> {
+    private interface BoundedAction<T> {
         T run(long nanos) throws ExecutionException, InterruptedException, TimeoutException;
     }
 
-    private static <T> T attempt(Run owner, Duration timeout, Attempt<T> attempt) {
+    private static <T> T runBounded(Run owner, Duration timeout, BoundedAction<T> action) {
         try {
-            return attempt.run(timeout.toNanos());
+            return action.run(timeout.toNanos());
         } catch (TimeoutException e) {
-            throw failure(owner, "no answer within " + timeout.toMillis() + " ms", e);
+            throw failure(owner, "no response within " + timeout.toMillis() + " ms", e);
         } catch (ExecutionException e) {
             throw failure(owner, "cannot be reached: " + e.getCause().getMessage(), e.getCause());
         } catch (CancellationException | InterruptedException e) {
@@ -186,39 +190,39 @@
     }
 
     private static StepException unknownOwner(Run owner) {
-        return failure(owner, "instance is not known and named no key successor", null);
+        return failure(owner, "instance is unknown and no key successor was announced", null);
     }
 
-    /** The outcome is unknown even if this copy was not sent: the owner may have run an earlier one. */
+    /** The outcome is unknown even if this attempt was not sent: the owner may have run an earlier one. */
     private static StepException failure(Run owner, String message, Throwable cause) {
         return new StepException(Step.FORWARD, owner.instance().value(), Outcome.UNKNOWN, message, cause, RETRY_AFTER);
     }
 
-    /** Returns the run that confirmed the last transfer, if it was one of this instance. */
+    /** Returns the run to which the last transfer was made, if it is a run of the given instance. */
     Optional<Run> transferredTo(InstanceId successor) {
         return Optional.ofNullable(lastTransferredTo).filter(r -> r.instance().equals(successor));
     }
 
     void onCall(Link link, ForwardCall call) {
-        link.answering.incrementAndGet();
+        link.inProgress.incrementAndGet();
         handler.onForward(link.peer().instance(), call).whenComplete((result, e) -> {
             if (result != null) {
                 link.send(PeerFrame.forwardResult(result.deepCopy().setCallId(call.getCallId())));
             }
-            link.answering.decrementAndGet();
+            link.inProgress.decrementAndGet();
         });
     }
 
     void onResult(Link link, ForwardResult result) {
-        var waiting = link.calls.remove(result.getCallId());
-        if (waiting != null) {
-            waiting.complete(result);
+        var pending = link.calls.remove(result.getCallId());
+        if (pending != null) {
+            pending.complete(result);
         }
     }
 
     void onTransfer(Link link, KeyTransfer part) {
-        link.answering.incrementAndGet();
-        // Parts are stored one after another, so the confirmation of the last covers all.
+        link.inProgress.incrementAndGet();
+        // Parts are stored one after another, so that the acknowledgement of the last part covers all of them.
         synchronized (link) {
             CompletableFuture<Void> before =
                     link.transfers.getOrDefault(link.peer(), CompletableFuture.completedFuture(null));
@@ -226,7 +230,7 @@
                     before.thenCompose(v -> handler.onKeyTransfer(link.peer().instance(), part));
             link.transfers.put(link.peer(), stored);
             stored.whenComplete((v, e) -> {
-                link.answering.decrementAndGet();
+                link.inProgress.decrementAndGet();
                 if (e != null) {
                     link.close("key transfer failed: " + e.getMessage());
                 } else if (part.isLast()) {
@@ -238,9 +242,9 @@
     }
 
     void onAck(Link link) {
-        var waiting = link.transfers.remove(self);
-        if (waiting != null) {
-            waiting.complete(null);
+        var pending = link.transfers.remove(self);
+        if (pending != null) {
+            pending.complete(null);
         }
     }
 }
--- a/core/src/main/java/org/verbenatally/peer/GossipExchange.java
+++ b/core/src/main/java/org/verbenatally/peer/GossipExchange.java
@@ -23,22 +23,22 @@
 import org.verbenatally.wire.PublishedTarget;
 import org.verbenatally.wire.Suspect;
 
-/** Builds the gossip frames of each link and applies what comes in. */
+/** Builds the gossip frames for each link and applies those that are received. */
 final class GossipExchange {
-    /** Most rows of loads, and of published entries, in one frame; the others follow in the next one. */
-    private static final int MAX_ROWS = 1_024;
+    /** Maximum number of load records, and of published targets, in one frame; the rest follow in the next one. */
+    private static final int MAX_RECORDS = 1_024;
 
-    /** Most rows of loads in a frame of a larger fleet, where each row crosses each link. */
-    private static final int MAX_LOADS_OF_LARGE_FLEET = 64;
+    /** Maximum number of load records in one frame of a larger fleet, where each record is sent over every link. */
+    private static final int MAX_LOADS_IN_LARGE_FLEET = 64;
 
-    /** In a larger fleet suspects and leaving targets are sent once in this many gossip periods. */
-    private static final int SAMPLED_STATE_PERIODS = 4;
+    /** In a larger fleet, suspects and leaving targets are sent once every this many gossip periods. */
+    private static final int LARGE_FLEET_STATE_PERIODS = 4;
 
-    /** Most suspects in one frame; the others follow in the next one. */
+    /** Maximum number of suspects in one frame; the rest follow in the next one. */
     private static final int MAX_SUSPECTS = 256;
 
-    /** Most rows that are asked for in one frame. */
-    private static final int MAX_WANTED = 1_024;
+    /** Maximum number of member records requested in one frame. */
+    private static final int MAX_WANTED_RECORDS = 1_024;
 
     private static final Gossip KEEP_ALIVE = keepAlive();
 
@@ -65,7 +65,7 @@
         this.timers = timers;
         this.config = config;
         this.handler = handler;
-        this.loads = new LoadTable(membership.own().run(), timers);
+        this.loads = new LoadTable(membership.ownRecord().run(), timers);
         this.published = new PublishedTable(timers, timings.forget());
     }
 
@@ -75,23 +75,23 @@
         return gossip;
     }
 
-    /** State of the own process that goes into the frames of one round. */
-    private record Own(List<String> leaving, List<Suspect> suspects, int periods) {}
+    /** State of this instance to be sent in one round, and the number of gossip periods until it is due again. */
+    private record OwnState(List<String> leaving, List<Suspect> suspects, int periods) {}
 
     private boolean isMesh() {
-        return membership.fleet() <= Links.FULL_MESH_MEMBERS;
+        return membership.fleetSize() <= Links.FULL_MESH_MEMBERS;
     }
 
     /**
-     * Sends a frame on each link whose last one is a period old.
+     * Sends a frame on each link on which one is due.
      *
-     * @param complete whether leaving targets and suspects are sent at once on all links; otherwise they follow their
-     *     own period
+     * @param includeState whether to send a frame with leaving targets and suspects on every link now; otherwise they
+     *     are sent at their own period
      */
-    void sendRound(Collection<Link> links, boolean complete) {
-        stateLoads();
+    void sendRound(Collection<Link> links, boolean includeState) {
+        refreshLoads();
         boolean mesh = isMesh();
-        Own own = null;
+        OwnState own = null;
         for (Link link : links) {
             if (!link.isReady()) {
                 continue;
@@ -103,34 +103,34 @@
                 continue;
             }
             synchronized (link.gossip) {
-                boolean due = complete || timers.nanos() - link.gossip.nextState >= 0;
+                boolean due = includeState || timers.nanos() - link.gossip.nextStateTime >= 0;
                 if (due && own == null) {
-                    own = own(mesh);
+                    own = ownState(mesh);
                 }
-                if (due || timers.nanos() - link.gossip.nextFrame >= 0) {
+                if (due || timers.nanos() - link.gossip.nextFrameTime >= 0) {
                     send(link, due ? own : null, mesh);
                 }
             }
         }
     }
 
-    /** Sends all that changed on all links, for what must not wait for the period. */
+    /** Sends all pending changes on all links at once, without waiting for the next period. */
     void sendChanges(Collection<Link> links) {
-        stateLoads();
+        refreshLoads();
         forEachNeighbour(links, link -> send(link, null, isMesh()));
     }
 
-    /** Takes the present load of this instance into the next frames. */
-    void stateLoads() {
-        loads.state(handler.targetLoads());
+    /** Updates the load table with the current load of this instance, which the next frames report. */
+    void refreshLoads() {
+        loads.reportOwn(handler.targetLoads());
     }
 
-    /** Sends a frame on each link that has not been sent all loads and published entries. */
-    void sendLoads(Collection<Link> links) {
+    /** Sends a frame on each link whose peer lacks load records or published targets. */
+    void sendLoadsAndTargets(Collection<Link> links) {
         boolean mesh = isMesh();
         forEachNeighbour(links, link -> {
-            if (loads.hasChanges(link.gossip.sentLoads, link.id)
-                    || published.hasChanges(link.gossip.sentPublished, link.id)) {
+            if (loads.hasChanges(link.gossip.sentLoadsSerial, link.id)
+                    || published.hasChanges(link.gossip.sentPublishedSerial, link.id)) {
                 send(link, null, mesh);
             }
         });
@@ -146,16 +146,16 @@
         }
     }
 
-    /** Takes published entries that this instance has read, and returns whether any of them is news. */
-    boolean publish(Collection<PublishedTarget> entries) {
-        boolean news = false;
-        for (PublishedTarget entry : entries) {
-            news |= published.put(entry, NewestRows.LOCAL);
+    /** Stores published targets that this instance has read, and returns whether any of them changed. */
+    boolean publish(Collection<PublishedTarget> targets) {
+        boolean changed = false;
+        for (PublishedTarget target : targets) {
+            changed |= published.put(target, ReplicatedTable.LOCAL);
         }
-        return news;
+        return changed;
     }
 
-    /** Counts the loads of those members only that are heard of, and forgets what is long past. */
+    /** Excludes the loads of unresponsive members and removes expired records from the tables. */
     void tick() {
         published.tick();
         Map<InstanceId, MemberInfo> members = new HashMap<>();
@@ -163,41 +163,42 @@
         loads.tick(id -> Optional.ofNullable(members.get(id)), handler::onTargetLoads);
     }
 
-    /** Forgets what a member said that has gone. */
+    /** Discards the state reported by a member that is gone. */
     void forget(InstanceId member) {
         loads.forget(member);
         handler.onGone(member);
     }
 
-    private Own own(boolean mesh) {
+    private OwnState ownState(boolean mesh) {
         List<String> leaving =
                 handler.leavingTargets().stream().map(TargetId::value).toList();
-        return new Own(leaving, handler.suspects(), mesh ? 1 : SAMPLED_STATE_PERIODS);
+        return new OwnState(leaving, handler.suspects(), mesh ? 1 : LARGE_FLEET_STATE_PERIODS);
     }
 
-    /** What a link has not been sent of the tables that all instances pass on. */
-    private record Spread(NewestRows.Batch<InstanceLoads> loads, NewestRows.Batch<PublishedTarget> published) {
-        void sent(Link.GossipState state) {
-            state.sentLoads = loads.serial();
-            state.sentPublished = published.serial();
+    /** Records of the replicated tables that have not been sent on a link yet. */
+    private record TableChanges(
+            ReplicatedTable.Batch<InstanceLoads> loads, ReplicatedTable.Batch<PublishedTarget> published) {
+        void markSent(Link.GossipState state) {
+            state.sentLoadsSerial = loads.serial();
+            state.sentPublishedSerial = published.serial();
         }
     }
 
-    private Spread spread(Link link, boolean mesh) {
-        int most = mesh ? MAX_ROWS : MAX_LOADS_OF_LARGE_FLEET;
-        return new Spread(
-                loads.changes(link.gossip.sentLoads, link.id, most),
-                published.changes(link.gossip.sentPublished, link.id, MAX_ROWS));
+    private TableChanges tableChanges(Link link, boolean mesh) {
+        int maxLoads = mesh ? MAX_RECORDS : MAX_LOADS_IN_LARGE_FLEET;
+        return new TableChanges(
+                loads.changes(link.gossip.sentLoadsSerial, link.id, maxLoads),
+                published.changes(link.gossip.sentPublishedSerial, link.id, MAX_RECORDS));
     }
 
     private long version() {
         return config.deployment().map(d -> d.version().value()).orElse(0L);
     }
 
-    private Gossip frame(List<Member> rows, Spread spread, Own own, List<Suspect> suspects) {
+    private Gossip frame(List<Member> records, TableChanges tables, OwnState own, List<Suspect> suspects) {
         Gossip gossip = new Gossip(
-                rows,
-                spread.loads().values(),
+                records,
+                tables.loads().values(),
                 own == null ? List.of() : own.leaving(),
                 suspects,
                 version(),
@@ -207,70 +208,72 @@
         if (own == null) {
             gossip.setMembersOnly(true);
         }
-        if (!spread.published().values().isEmpty()) {
-            gossip.setPublished(spread.published().values());
+        if (!tables.published().values().isEmpty()) {
+            gossip.setPublished(tables.published().values());
         }
-        if (spread.published().complete()) {
+        if (tables.published().complete()) {
             handler.publishedAge().ifPresent(age -> gossip.setPublishedAgeMs((int) age.toMillis()));
         }
         return gossip;
     }
 
-    private void send(Link link, Own own, boolean mesh) {
+    private void send(Link link, OwnState own, boolean mesh) {
         Link.GossipState state = link.gossip;
-        boolean first = !state.ownRowSent;
-        if (first) {
-            // Rows are not sent to a new neighbour, which mostly knows them; the beats tell it what it lacks.
-            state.sentState = membership.serial();
+        boolean isFirst = !state.ownRecordSent;
+        if (isFirst) {
+            // Records are not sent to a new neighbour, which knows most of them; it requests those that it lacks once
+            // it has received their heartbeats.
+            state.sentStateSerial = membership.serial();
         }
-        var changes = membership.changes(state.sentState, state.sentBeat, version(), link.id);
-        List<Member> rows = new ArrayList<>(changes.rows().size());
-        changes.rows().forEach(r -> rows.add(r.toWire()));
-        if (first) {
-            rows.add(membership.own().toWire());
+        var changes = membership.changes(state.sentStateSerial, state.sentHeartbeatSerial, version(), link.id);
+        List<Member> records = new ArrayList<>(changes.records().size());
+        changes.records().forEach(r -> records.add(r.toWire()));
+        if (isFirst) {
+            records.add(membership.ownRecord().toWire());
         }
         List<Integer> wantedByPeer = List.copyOf(state.wantedByPeer);
         if (!wantedByPeer.isEmpty()) {
-            membership.rows(wantedByPeer).forEach(r -> rows.add(r.toWire()));
+            membership.recordsFor(wantedByPeer).forEach(r -> records.add(r.toWire()));
         }
-        Spread spread = spread(link, mesh);
-        Gossip gossip = frame(rows, spread, own, own == null ? List.of() : newSuspects(state, own.suspects()));
-        if (changes.beats().getRowsSize() > 0) {
-            gossip.setBeats(changes.beats());
+        TableChanges tables = tableChanges(link, mesh);
+        Gossip gossip = frame(records, tables, own, own == null ? List.of() : unsentSuspects(state, own.suspects()));
+        if (changes.heartbeats().getRowsSize() > 0) {
+            gossip.setBeats(changes.heartbeats());
         }
-        List<Integer> unknown = state.unknown.stream().limit(MAX_WANTED).toList();
-        if (!unknown.isEmpty()) {
-            gossip.setWantedRows(unknown);
+        List<Integer> unknownHashes =
+                state.unknownHashes.stream().limit(MAX_WANTED_RECORDS).toList();
+        if (!unknownHashes.isEmpty()) {
+            gossip.setWantedRows(unknownHashes);
         }
         if (link.send(PeerFrame.gossip(gossip))) {
-            state.ownRowSent = true;
-            state.sentState = changes.serial();
-            state.sentBeat = changes.serial();
-            spread.sent(state);
-            // Half a gossip period less, so that a tick that comes a little early does not skip a turn.
-            state.nextFrame = timers.nanos()
-                    + timings.framePeriod(membership.fleet()).toNanos()
+            state.ownRecordSent = true;
+            state.sentStateSerial = changes.serial();
+            state.sentHeartbeatSerial = changes.serial();
+            tables.markSent(state);
+            // Half a gossip period less, so that a slightly early tick does not skip a frame.
+            state.nextFrameTime = timers.nanos()
+                    + timings.framePeriod(membership.fleetSize()).toNanos()
                     - timings.gossip().toNanos() / 2;
             state.wantedByPeer.removeAll(wantedByPeer);
-            state.unknown.removeAll(unknown);
+            state.unknownHashes.removeAll(unknownHashes);
             if (own != null) {
-                ownSent(state, own, gossip.getSuspects());
+                markStateSent(state, own, gossip.getSuspects());
             }
         }
     }
 
-    private void ownSent(Link.GossipState state, Own own, List<Suspect> suspects) {
-        // Half a period less, so that a tick that comes a little early does not skip a turn.
-        state.nextState = timers.nanos()
+    private void markStateSent(Link.GossipState state, OwnState own, List<Suspect> suspects) {
+        // Half a gossip period less, so that a slightly early tick does not skip a round.
+        state.nextStateTime = timers.nanos()
                 + timings.gossip().multipliedBy(own.periods()).toNanos()
                 - timings.gossip().toNanos() / 2;
         suspects.forEach(s -> state.sentSuspects.put(key(s), stateOf(s)));
     }
 
-    private static List<Suspect> newSuspects(Link.GossipState state, List<Suspect> suspects) {
+    private static List<Suspect> unsentSuspects(Link.GossipState state, List<Suspect> suspects) {
         if (state.sentSuspects.size() > suspects.size()) {
-            Set<Object> kept = suspects.stream().map(GossipExchange::key).collect(Collectors.toSet());
-            state.sentSuspects.keySet().retainAll(kept);
+            Set<Object> current = suspects.stream().map(GossipExchange::key).collect(Collectors.toSet());
+            state.sentSuspects.keySet().retainAll(current);
         }
         return suspects.stream()
                 .filter(s -> !stateOf(s).equals(state.sentSuspects.get(key(s))))
@@ -287,50 +290,50 @@
     }
 
     /**
-     * What a frame brought that must be passed on before the period is over.
+     * Which tables a frame changed in a way that must be passed on before the next period.
      *
-     * @param members whether a member leaves, has left or was replaced
-     * @param targets whether published entries changed
+     * @param members whether a member is leaving, has left or was replaced
+     * @param targets whether published targets changed
      * @param loads whether loads changed
      */
-    record News(boolean members, boolean targets, boolean loads) {
-        private static final News NONE = new News(false, false, false);
+    record Updates(boolean members, boolean targets, boolean loads) {
+        private static final Updates NONE = new Updates(false, false, false);
     }
 
     /**
-     * Applies a frame and returns its news.
+     * Applies a frame and returns what it changed.
      *
-     * @throws IllegalArgumentException if a field is not valid
+     * @throws IllegalArgumentException if a field is invalid
      */
-    News receive(Link link, Gossip gossip) {
+    Updates receive(Link link, Gossip gossip) {
         if (!link.carriesGossip()) {
-            return News.NONE;
+            return Updates.NONE;
         }
-        boolean urgent =
-                membership.merge(gossip.getMembers().stream().map(MemberRow::of).toList(), link.id);
+        boolean membersChanged = membership.merge(
+                gossip.getMembers().stream().map(MemberRecord::of).toList(), link.id);
         if (gossip.getBeats() != null) {
-            link.gossip.want(membership.apply(gossip.getBeats(), gossip.getConfigVersion(), link.id));
+            link.gossip.addUnknown(membership.applyHeartbeats(gossip.getBeats(), gossip.getConfigVersion(), link.id));
         }
         if (gossip.getWantedRows() != null) {
-            link.gossip.wanted(gossip.getWantedRows());
+            link.gossip.addWantedByPeer(gossip.getWantedRows());
         }
-        boolean targets = receivePublished(link, gossip);
-        boolean changed = loads.receive(gossip.getLoads(), link.id, handler::onTargetLoads);
+        boolean targetsChanged = receivePublished(link, gossip);
+        boolean loadsChanged = loads.receive(gossip.getLoads(), link.id, handler::onTargetLoads);
         if (!gossip.isMembersOnly()) {
             receiveState(link, gossip);
         }
-        return new News(urgent, targets, changed);
+        return new Updates(membersChanged, targetsChanged, loadsChanged);
     }
 
     private boolean receivePublished(Link link, Gossip gossip) {
-        List<PublishedTarget> news = List.of();
+        List<PublishedTarget> updates = List.of();
         if (gossip.getPublished() != null) {
-            // Checked before any of it is used, so that a bad entry has no effect.
+            // All are checked before any is stored, so that a frame with an invalid one changes no published target.
             handler.checkPublished(gossip.getPublished());
-            news = gossip.getPublished().stream()
-                    .filter(entry -> published.put(entry, link.id))
+            updates = gossip.getPublished().stream()
+                    .filter(target -> published.put(target, link.id))
                     .toList();
-            handler.onPublished(news);
+            handler.onPublished(updates);
         }
         if (gossip.isSetPublishedAgeMs()) {
             if (gossip.getPublishedAgeMs() < 0) {
@@ -338,7 +341,7 @@
             }
             handler.onPublishedAge(Duration.ofMillis(gossip.getPublishedAgeMs()));
         }
-        return !news.isEmpty();
+        return !updates.isEmpty();
     }
 
     private void receiveState(Link link, Gossip gossip) {
--- a/core/src/main/java/org/verbenatally/peer/Link.java
+++ b/core/src/main/java/org/verbenatally/peer/Link.java
@@ -18,32 +18,32 @@
 import io.vertx.core.parsetools.RecordParser;
 import org.jboss.logging.Logger;
 import org.verbenatally.peer.FrameCodec.BadFrameException;
-import org.verbenatally.peer.MemberRow.Run;
+import org.verbenatally.peer.MemberRecord.Run;
 import org.verbenatally.wire.ForwardResult;
 import org.verbenatally.wire.PeerFrame;
 
-/** One connection to a peer. A virtual thread reads its frames in order; frames are written from any thread. */
+/** A connection to a peer. A virtual thread handles received frames in order; any thread may send frames. */
 final class Link {
     private static final Logger LOG = Logger.getLogger(Link.class);
 
-    /** The socket is paused while this many frames wait for the reading task. */
-    private static final int MAX_WAITING = 64;
+    /** The socket is paused when this many frames are queued for the reading thread. */
+    private static final int MAX_QUEUED_FRAMES = 64;
 
-    /** Bytes that may wait for a slow peer before the link counts as stalled; one frame must fit. */
-    private static final int WRITE_QUEUE = 2 * FrameCodec.MAX_FRAME;
+    /** Bytes that may be queued for a slow peer before {@link #send} fails; must hold at least one frame. */
+    private static final int MAX_WRITE_QUEUE_BYTES = 2 * FrameCodec.MAX_FRAME;
 
     private static final Buffer END = Buffer.buffer();
 
-    /** Receives what a link reads. */
+    /** Handles the frames that a link receives, and its end. */
     interface Listener {
-        /** Takes a frame; an {@link IllegalArgumentException} closes the link as malformed input does. */
+        /** Handles a frame; an {@link IllegalArgumentException} closes the link, as a malformed frame does. */
         void onFrame(Link link, PeerFrame frame) throws BadFrameException;
 
-        /** Called once when the link has ended. */
+        /** Called once, when the link is closed. */
         void onClosed(Link link, String reason);
     }
 
-    /** Bytes sent and received by all links of an instance, and sent in configuration documents. */
+    /** Bytes sent and received on all links of an instance, and bytes sent in configuration documents and deltas. */
     record Traffic(AtomicLong sent, AtomicLong received, AtomicLong config) {}
 
     final int id;
@@ -53,8 +53,8 @@
     final CompletableFuture<Void> firstGossip = new CompletableFuture<>();
     final Map<Long, CompletableFuture<ForwardResult>> calls = new ConcurrentHashMap<>();
     final Map<Run, CompletableFuture<Void>> transfers = new ConcurrentHashMap<>();
-    final AtomicInteger answering = new AtomicInteger();
-    volatile long opened;
+    final AtomicInteger inProgress = new AtomicInteger();
+    volatile long openedAt;
     volatile long lastReceived;
     volatile long lastUsed;
     volatile boolean peerCallsOnly;
@@ -63,29 +63,29 @@
     private final NetSocket socket;
     private final Listener listener;
     private final Traffic traffic;
-    private final BlockingQueue<Buffer> waiting = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Buffer> receivedFrames = new LinkedBlockingQueue<>();
     private final AtomicBoolean closed = new AtomicBoolean();
     private volatile String reason = "closed by the peer";
 
-    /** What this link has been sent, and what its peer asked for. Guarded by itself. */
+    /** What has been sent on this link, and which records each side has asked for. Guarded by its own monitor. */
     static final class GossipState {
-        long sentState;
-        long sentBeat;
-        boolean ownRowSent;
+        long sentStateSerial;
+        long sentHeartbeatSerial;
+        boolean ownRecordSent;
         boolean leavingReceived;
-        long sentLoads;
-        long sentPublished;
-        long nextState;
-        long nextFrame;
+        long sentLoadsSerial;
+        long sentPublishedSerial;
+        long nextStateTime;
+        long nextFrameTime;
         final Set<Integer> wantedByPeer = new HashSet<>();
-        final Set<Integer> unknown = new HashSet<>();
+        final Set<Integer> unknownHashes = new HashSet<>();
         final Map<Object, Object> sentSuspects = new HashMap<>();
 
-        synchronized void want(Collection<Integer> hashes) {
-            unknown.addAll(hashes);
+        synchronized void addUnknown(Collection<Integer> hashes) {
+            unknownHashes.addAll(hashes);
         }
 
-        synchronized void wanted(Collection<Integer> hashes) {
+        synchronized void addWantedByPeer(Collection<Integer> hashes) {
             wantedByPeer.addAll(hashes);
         }
     }
@@ -97,15 +97,17 @@
         this.callsOnly = callsOnly;
         this.listener = listener;
         this.traffic = traffic;
-        opened = now;
+        openedAt = now;
         lastReceived = now;
         lastUsed = now;
-        gossip.nextState = now;
-        gossip.nextFrame = now;
-        socket.setWriteQueueMaxSize(WRITE_QUEUE);
+        gossip.nextStateTime = now;
+        gossip.nextFrameTime = now;
+        socket.setWriteQueueMaxSize(MAX_WRITE_QUEUE_BYTES);
     }
 
-    /** Starts to read. Called on the socket's own context, before any byte can be lost. */
+    /**
+     * Starts reading. Must be called on the socket's event loop, so that no bytes are lost before the handler is set.
+     */
     void start() {
         RecordParser parser = RecordParser.newFixed(FrameCodec.LENGTH_BYTES);
         boolean[] inBody = {false};
@@ -136,16 +138,16 @@
     }
 
     private void enqueue(Buffer frame) {
-        waiting.add(frame);
-        if (waiting.size() >= MAX_WAITING) {
+        receivedFrames.add(frame);
+        if (receivedFrames.size() >= MAX_QUEUED_FRAMES) {
             socket.pause();
         }
     }
 
     private void read() {
         try {
-            for (Buffer frame = waiting.take(); frame != END; frame = waiting.take()) {
-                if (waiting.isEmpty()) {
+            for (Buffer frame = receivedFrames.take(); frame != END; frame = receivedFrames.take()) {
+                if (receivedFrames.isEmpty()) {
                     socket.resume();
                 }
                 if (!closed.get()) {
@@ -153,18 +155,18 @@
                 }
             }
         } catch (BadFrameException | IllegalArgumentException e) {
-            // The peer may run another version or be faulty; the other links must not suffer.
+            // The peer may be faulty or run another version; only its own link is closed.
             LOG.warnf("peer: closing link to %s: %s", this, e.getMessage());
             close(e.getMessage());
         } catch (InterruptedException e) {
-            close("reading task was interrupted");
+            close("reading thread was interrupted");
         } catch (RuntimeException e) {
             LOG.errorf(e, "peer: reading from %s failed", this);
             close("internal error");
         }
     }
 
-    /** Sends a frame and returns whether it was handed to the connection. */
+    /** Sends a frame and returns whether it was written to the connection. */
     boolean send(PeerFrame frame) {
         if (closed.get() || socket.writeQueueFull()) {
             return false;
@@ -191,14 +193,14 @@
         return closed.get();
     }
 
-    /** Returns whether only calls are carried, by the choice of either side. */
+    /** Returns whether gossip is exchanged on this link; not if either side opened it for calls only. */
     boolean carriesGossip() {
         return !callsOnly && !peerCallsOnly;
     }
 
-    /** Returns whether somebody waits for an answer over this link. */
+    /** Returns whether either side is waiting for a response on this link. */
     boolean isBusy() {
-        return !calls.isEmpty() || !transfers.isEmpty() || answering.get() > 0;
+        return !calls.isEmpty() || !transfers.isEmpty() || inProgress.get() > 0;
     }
 
     /** Returns the run of the peer, or {@code null} before its hello. */
@@ -212,7 +214,7 @@
         }
         reason = why;
         socket.close();
-        waiting.add(END);
+        receivedFrames.add(END);
         var failure = new LinkClosedException(why);
         hello.completeExceptionally(failure);
         firstGossip.completeExceptionally(failure);
@@ -229,7 +231,7 @@
                 : run.instance().value();
     }
 
-    /** The link ended before an answer arrived. */
+    /** Thrown if the link is closed before a response arrives. */
     static class LinkClosedException extends Exception {
         private static final long serialVersionUID = 1;
 
--- a/core/src/main/java/org/verbenatally/peer/Links.java
+++ b/core/src/main/java/org/verbenatally/peer/Links.java
@@ -27,32 +27,35 @@
 import org.verbenatally.core.InstanceId;
 import org.verbenatally.peer.Link.Traffic;
 import org.verbenatally.peer.MemberInfo.Status;
-import org.verbenatally.peer.MemberRow.Run;
+import org.verbenatally.peer.MemberRecord.Run;
 import org.verbenatally.time.TimerService;
 import org.verbenatally.wire.Hello;
 import org.verbenatally.wire.PeerFrame;
 
-/** The open links of an instance: whom to connect to, when to close, and which of two links to one peer to keep. */
+/** The open links of an instance. Decides which peers to dial, when to close a link, and which duplicate to keep. */
 final class Links {
-    /** Version of the peer protocol; instances of another one are refused. */
+    /** Version of the peer protocol; links to instances of another version are refused. */
     static final int PROTOCOL = 2;
 
-    /** A fleet of up to this size has a link between any two members. */
+    /** In a fleet of up to this size, each member has a link to every other one. */
     static final int FULL_MESH_MEMBERS = 9;
 
     /**
-     * Links that an instance opens in a larger fleet; it accepts about as many, which gives six neighbours. Each row
-     * crosses each link, so that a seventh one costs as much as the first; three random ones keep a fleet connected.
+     * Links that an instance opens in a larger fleet. It accepts about as many, which gives six neighbours. Each record
+     * is sent over every link, so a seventh neighbour would cost as much as the first; three random links per instance
+     * are enough to keep the fleet connected.
      */
     private static final int DIALLED_NEIGHBOURS = 3;
 
-    /** As many of them are in other failure domains; traffic between these is dear, and news needs few ways there. */
-    private static final int FAR_NEIGHBOURS = 1;
+    /**
+     * How many of them lead to other failure domains. Traffic between domains is costly, and updates need few paths.
+     */
+    private static final int OTHER_DOMAIN_NEIGHBOURS = 1;
 
-    /** A peer that cannot be reached is tried again after one, two, four, ... up to this many gossip periods. */
+    /** An unreachable peer is dialled again after one, two, four, ... up to this many gossip periods. */
     private static final int MAX_BACKOFF_PERIODS = 10;
 
-    /** A calls-only link that was idle for this many gossip periods is not used again but replaced. */
+    /** A calls-only link is closed after it has been idle for this many gossip periods. */
     private static final int IDLE_PERIODS = 10;
 
     private static final Logger LOG = Logger.getLogger(Links.class);
@@ -65,7 +68,7 @@
     private final Dialer dialer;
     private final NetServer server;
     private final UniformRandomProvider random;
-    private final Map<Integer, Link> open = new ConcurrentHashMap<>();
+    private final Map<Integer, Link> openLinks = new ConcurrentHashMap<>();
     private final AtomicInteger ids = new AtomicInteger();
     private final Map<Address, Backoff> backoffs = new ConcurrentHashMap<>();
     private final Set<Address> hints = ConcurrentHashMap.newKeySet();
@@ -73,10 +76,10 @@
     private final Set<Address> ownAddresses = ConcurrentHashMap.newKeySet();
     private final Traffic traffic = new Traffic(new AtomicLong(), new AtomicLong(), new AtomicLong());
     private long nextRenewal;
-    private long nextFarDial;
+    private long nextUnreachableDial;
     private volatile boolean closing;
 
-    /** Opens connections; tests put a faulty network in its place. */
+    /** Opens connections; tests replace it to simulate network faults. */
     @FunctionalInterface
     interface Dialer {
         Future<NetSocket> connect(Address address);
@@ -104,7 +107,7 @@
         seeds = options.seeds();
         hints.addAll(seeds);
         nextRenewal = timers.nanos();
-        nextFarDial = timers.nanos();
+        nextUnreachableDial = timers.nanos();
     }
 
     Traffic traffic() {
@@ -112,27 +115,27 @@
     }
 
     Collection<Link> all() {
-        return open.values();
+        return openLinks.values();
     }
 
-    /** Takes addresses that the platform lists. They are only tried; what gossip reports counts. */
-    void hint(Collection<Address> addresses) {
+    /** Replaces the addresses listed by the platform. They are only dialled; membership is decided by gossip alone. */
+    void setHints(Collection<Address> addresses) {
         hints.retainAll(seeds);
         hints.addAll(addresses);
     }
 
-    /** Replaces the addresses to try first. */
-    void seeds(List<Address> addresses) {
+    /** Replaces the seed addresses, which are dialled first. */
+    void setSeeds(List<Address> addresses) {
         hints.removeAll(seeds);
         hints.addAll(addresses);
         seeds = List.copyOf(addresses);
     }
 
-    /** Returns the addresses that a starting instance asks, without its own. */
-    List<Address> known() {
+    /** Returns the seeds and the addresses listed by the platform, without those of this instance. */
+    List<Address> knownAddresses() {
         List<Address> known = new ArrayList<>(hints);
         known.removeAll(ownAddresses);
-        known.remove(membership.own().address());
+        known.remove(membership.ownRecord().address());
         return known;
     }
 
@@ -146,7 +149,7 @@
 
     private Link open(NetSocket socket, boolean dialled, boolean callsOnly) {
         Link link = new Link(ids.incrementAndGet(), socket, dialled, callsOnly, timers.nanos(), listener, traffic);
-        open.put(link.id, link);
+        openLinks.put(link.id, link);
         link.start();
         var hello = new Hello(
                 PROTOCOL,
@@ -161,7 +164,7 @@
         return link;
     }
 
-    /** No connection to an address could be made, so that nobody has read anything. */
+    /** Thrown if no connection could be made, so that no peer has received anything. */
     private static final class UnreachableException extends Link.LinkClosedException {
         private static final long serialVersionUID = 1;
 
@@ -176,7 +179,7 @@
         return cause instanceof UnreachableException;
     }
 
-    /** Opens a link; the future completes after the peer's hello. */
+    /** Opens a link; the future completes with it once the peer's hello has arrived. */
     CompletableFuture<Link> dial(Address address, boolean callsOnly) {
         var result = new CompletableFuture<Link>();
         if (closing) {
@@ -218,7 +221,7 @@
         return backoff == null || timers.nanos() - backoff.until() >= 0;
     }
 
-    /** Takes the hello of a peer; closes what it makes superfluous. */
+    /** Handles the hello of a peer and closes the links that become redundant. */
     void onHello(Link link, Hello hello) {
         if (hello.getProtocol() != PROTOCOL || !hello.getDeployment().equals(options.deployment())) {
             throw new IllegalArgumentException("hello of protocol " + hello.getProtocol() + ", deployment "
@@ -229,7 +232,7 @@
         link.peerCallsOnly = hello.isCallsOnly();
         if (!run.equals(self) && link.carriesGossip()) {
             synchronized (this) {
-                for (Link other : List.copyOf(open.values())) {
+                for (Link other : List.copyOf(openLinks.values())) {
                     if (other != link && other.isReady() && other.carriesGossip()) {
                         resolveDuplicate(link, run, other);
                     }
@@ -239,13 +242,16 @@
         link.hello.complete(run);
     }
 
-    /** Keeps one of two links to a peer. Both sides decide alike: the link that the lower id opened stays. */
+    /**
+     * Closes one of two links to the same peer. Both sides keep the one that the instance with the lower id opened,
+     * unless it is stalled or belongs to an earlier run.
+     */
     private void resolveDuplicate(Link link, Run run, Link other) {
-        Run before = other.peer();
-        if (before == null || !before.instance().equals(run.instance())) {
+        Run otherRun = other.peer();
+        if (otherRun == null || !otherRun.instance().equals(run.instance())) {
             return;
         }
-        int order = before.incarnation().compareTo(run.incarnation());
+        int order = otherRun.incarnation().compareTo(run.incarnation());
         boolean stalled = timers.nanos() - other.lastReceived
                 > options.timings().gossip().multipliedBy(2).toNanos();
         boolean lowerDialled = link.dialled == self.compareTo(run) < 0;
@@ -256,38 +262,38 @@
     }
 
     void onClosed(Link link) {
-        open.remove(link.id);
+        openLinks.remove(link.id);
     }
 
-    /** Returns a usable link to a run: a neighbour's or a new one for calls only. */
-    CompletableFuture<Link> linkTo(MemberRow peer) {
+    /** Returns a usable link to a run: an open one, or else a new calls-only link. */
+    CompletableFuture<Link> linkTo(MemberRecord peer) {
         long now = timers.nanos();
-        long fresh = options.timings().gossip().multipliedBy(3).toNanos();
-        Optional<Link> usable = open.values().stream()
+        long maxIdleNanos = options.timings().gossip().multipliedBy(3).toNanos();
+        Optional<Link> usable = openLinks.values().stream()
                 .filter(l -> l.isReady() && peer.run().equals(l.peer()))
-                .filter(l -> now - (l.carriesGossip() ? l.lastReceived : l.lastUsed) < fresh)
+                .filter(l -> now - (l.carriesGossip() ? l.lastReceived : l.lastUsed) < maxIdleNanos)
                 .findFirst();
         return usable.map(CompletableFuture::completedFuture).orElseGet(() -> dial(peer.address(), true));
     }
 
-    /** Closes silent links and opens missing ones. */
+    /** Closes silent and idle links and opens missing ones. */
     void tick() {
         long now = timers.nanos();
-        PeerTimings t = options.timings();
-        for (Link link : open.values()) {
+        PeerTimings timings = options.timings();
+        for (Link link : openLinks.values()) {
             boolean expectsFrames = !link.isReady() || link.carriesGossip() || link.isBusy();
-            if (expectsFrames && now - link.lastReceived > t.linkSilence().toNanos()) {
+            if (expectsFrames && now - link.lastReceived > timings.linkSilence().toNanos()) {
                 LOG.infof("peer: link to %s is silent, closing it", link);
                 link.close("silent");
             } else if (link.callsOnly
                     && !link.isBusy()
                     && now - link.lastUsed
-                            > t.gossip().multipliedBy(IDLE_PERIODS).toNanos()) {
+                            > timings.gossip().multipliedBy(IDLE_PERIODS).toNanos()) {
                 link.close("idle");
             } else if (link.peerCallsOnly
                     && !link.isBusy()
                     && now - link.lastReceived
-                            > t.gossip()
+                            > timings.gossip()
                                     .multipliedBy(IDLE_PERIODS * IDLE_PERIODS)
                                     .toNanos()) {
                 link.close("idle");
@@ -300,33 +306,33 @@
 
     private void dialMissing(long now) {
         Map<InstanceId, Link> linked = new HashMap<>();
-        open.values().stream()
+        openLinks.values().stream()
                 .filter(l -> l.isReady() && l.carriesGossip())
                 .forEach(l -> linked.put(l.peer().instance(), l));
         Map<Address, MemberInfo> missing = new HashMap<>();
-        Set<Address> covered = new HashSet<>(ownAddresses);
+        Set<Address> memberAddresses = new HashSet<>(ownAddresses);
         int size = 0;
         for (MemberInfo m : membership.members()) {
             size += m.status() == Status.GONE ? 0 : 1;
-            covered.add(m.address());
+            memberAddresses.add(m.address());
             if (!m.instance().equals(self.instance()) && !linked.containsKey(m.instance())) {
                 missing.put(m.address(), m);
             }
         }
-        List<Address> far = new ArrayList<>(hints);
-        far.addAll(membership.forgotten());
-        far.removeAll(covered);
+        List<Address> unreachable = new ArrayList<>(hints);
+        unreachable.addAll(membership.forgottenAddresses());
+        unreachable.removeAll(memberAddresses);
         missing.values().stream()
                 .filter(m -> m.status() == Status.GONE)
                 .map(MemberInfo::address)
-                .forEach(far::add);
+                .forEach(unreachable::add);
         missing.values().removeIf(m -> m.status() == Status.GONE);
         if (size <= FULL_MESH_MEMBERS) {
             missing.keySet().forEach(this::dialIfDue);
-            far.forEach(this::dialIfDue);
+            unreachable.forEach(this::dialIfDue);
         } else {
             dialNeighbours(now, linked, missing.values());
-            dialOneFar(now, far);
+            dialOneUnreachable(now, unreachable);
         }
     }
 
@@ -336,75 +342,82 @@
         }
     }
 
-    /** In a large fleet one unreachable address is tried in each backoff period, so that partitions heal. */
-    private void dialOneFar(long now, List<Address> far) {
-        if (!far.isEmpty() && now - nextFarDial >= 0) {
-            nextFarDial = now
+    /** In a large fleet, dials one unreachable address in each longest backoff period, so that partitions heal. */
+    private void dialOneUnreachable(long now, List<Address> unreachable) {
+        if (!unreachable.isEmpty() && now - nextUnreachableDial >= 0) {
+            nextUnreachableDial = now
                     + options.timings()
                             .gossip()
                             .multipliedBy(MAX_BACKOFF_PERIODS)
                             .toNanos();
-            dialIfDue(far.get(random.nextInt(far.size())));
+            dialIfDue(unreachable.get(random.nextInt(unreachable.size())));
         }
     }
 
     private void dialNeighbours(long now, Map<InstanceId, Link> linked, Collection<MemberInfo> missing) {
-        List<Link> own =
+        List<Link> dialledLinks =
                 new ArrayList<>(linked.values().stream().filter(l -> l.dialled).toList());
-        own.sort(Comparator.comparingLong(l -> l.opened));
-        List<Link> far = own.stream().filter(this::isFar).toList();
+        dialledLinks.sort(Comparator.comparingLong(l -> l.openedAt));
+        List<Link> inOtherDomain =
+                dialledLinks.stream().filter(this::isInOtherDomain).toList();
         List<MemberInfo> candidates = new ArrayList<>(missing);
         ListSampler.shuffle(random, candidates);
-        int wantedFar = FAR_NEIGHBOURS - far.size();
+        int wantedInOtherDomain = OTHER_DOMAIN_NEIGHBOURS - inOtherDomain.size();
         if (now - nextRenewal >= 0) {
-            Duration share = options.timings().neighbourRenewal().dividedBy(DIALLED_NEIGHBOURS);
-            nextRenewal = now + share.toNanos();
-            boolean renewFar = random.nextInt(DIALLED_NEIGHBOURS) < FAR_NEIGHBOURS;
-            dialSome(candidates, 1, renewFar ? 1 : 0);
-        } else if (own.size() > DIALLED_NEIGHBOURS) {
-            Link oldest = wantedFar < 0
-                    ? far.getFirst()
-                    : own.stream().filter(l -> !isFar(l)).findFirst().orElse(own.getFirst());
+            Duration renewalPeriod = options.timings().neighbourRenewal().dividedBy(DIALLED_NEIGHBOURS);
+            nextRenewal = now + renewalPeriod.toNanos();
+            boolean renewInOtherDomain = random.nextInt(DIALLED_NEIGHBOURS) < OTHER_DOMAIN_NEIGHBOURS;
+            dialCandidates(candidates, 1, renewInOtherDomain ? 1 : 0);
+        } else if (dialledLinks.size() > DIALLED_NEIGHBOURS) {
+            Link oldest = wantedInOtherDomain < 0
+                    ? inOtherDomain.getFirst()
+                    : dialledLinks.stream()
+                            .filter(l -> !isInOtherDomain(l))
+                            .findFirst()
+                            .orElse(dialledLinks.getFirst());
             oldest.close("neighbour renewal");
         } else {
-            dialSome(candidates, DIALLED_NEIGHBOURS - own.size(), wantedFar);
+            dialCandidates(candidates, DIALLED_NEIGHBOURS - dialledLinks.size(), wantedInOtherDomain);
         }
     }
 
-    /** Dials members, as many of other failure domains as stated if there are, the rest as near as possible. */
-    private void dialSome(List<MemberInfo> candidates, int wanted, int wantedFar) {
-        List<MemberInfo> far = candidates.stream().filter(this::isFar).toList();
-        int first = Math.min(Math.max(0, wantedFar), far.size());
-        List<MemberInfo> order = new ArrayList<>(far.subList(0, first));
-        candidates.stream().filter(m -> !isFar(m)).forEach(order::add);
-        order.addAll(far.subList(first, far.size()));
-        order.stream()
+    /**
+     * Dials members, up to the wanted number from other failure domains and the rest from this one if there are enough.
+     */
+    private void dialCandidates(List<MemberInfo> candidates, int wanted, int wantedInOtherDomain) {
+        List<MemberInfo> inOtherDomain =
+                candidates.stream().filter(this::isInOtherDomain).toList();
+        int count = Math.min(Math.max(0, wantedInOtherDomain), inOtherDomain.size());
+        List<MemberInfo> byPreference = new ArrayList<>(inOtherDomain.subList(0, count));
+        candidates.stream().filter(m -> !isInOtherDomain(m)).forEach(byPreference::add);
+        byPreference.addAll(inOtherDomain.subList(count, inOtherDomain.size()));
+        byPreference.stream()
                 .map(MemberInfo::address)
                 .filter(this::mayDial)
                 .limit(Math.max(0, wanted))
                 .forEach(this::dialIfDue);
     }
 
-    private boolean isFar(MemberInfo member) {
+    private boolean isInOtherDomain(MemberInfo member) {
         return !member.failureDomain().equals(options.failureDomain());
     }
 
-    private boolean isFar(Link link) {
+    private boolean isInOtherDomain(Link link) {
         return membership
-                .current(link.peer().instance())
-                .filter(row -> !row.failureDomain().equals(options.failureDomain()))
+                .latestRun(link.peer().instance())
+                .filter(peer -> !peer.failureDomain().equals(options.failureDomain()))
                 .isPresent();
     }
 
-    /** Restarts the silence timeout of all links, after a pause of this process. */
-    void forgiveSilence() {
+    /** Restarts the silence timeout of all links after a pause of this process. */
+    void restartSilenceTimeouts() {
         long now = timers.nanos();
-        open.values().forEach(l -> l.lastReceived = now);
+        openLinks.values().forEach(l -> l.lastReceived = now);
     }
 
     CompletableFuture<Void> close() {
         closing = true;
-        open.values().forEach(l -> l.close("this instance is stopping"));
+        openLinks.values().forEach(l -> l.close("this instance is stopping"));
         var closed = new CompletableFuture<Void>();
         server.close().onComplete(r -> closed.complete(null));
         return closed;
--- a/core/src/main/java/org/verbenatally/peer/LoadTable.java
+++ b/core/src/main/java/org/verbenatally/peer/LoadTable.java
@@ -18,25 +18,25 @@
 import org.verbenatally.core.InstanceId;
 import org.verbenatally.core.TargetId;
 import org.verbenatally.peer.MemberInfo.Status;
-import org.verbenatally.peer.MemberRow.Run;
+import org.verbenatally.peer.MemberRecord.Run;
 import org.verbenatally.time.TimerService;
 import org.verbenatally.wire.InstanceLoads;
 import org.verbenatally.wire.TargetLoad;
 
 /**
- * What all instances have in flight on each target, as each states it. Statements are passed on, so that an instance
- * knows the load of the whole fleet and not only that of its neighbours. What a silent instance said is not counted
- * until it is heard of again. Safe for use by several threads.
+ * The in-flight load of all instances on each target, as reported by each of them. Reports are passed on, so that every
+ * instance knows the load of the whole fleet and not only that of its neighbours. Reports of an unresponsive instance
+ * are not counted until its heartbeats arrive again. Thread-safe.
  */
 final class LoadTable {
-    /** A target without requests is stated for this long, so that all instances hear of the end of its load. */
-    private static final long ENDED_MEMORY_NANOS = TimeUnit.MINUTES.toNanos(1);
+    /** A target without load is reported for this long, so that all instances learn that its load has ended. */
+    private static final long ENDED_RETENTION_NANOS = TimeUnit.MINUTES.toNanos(1);
 
-    /** A change of the tokens alone is stated from this many on: a growing generation is not news all the time. */
-    private static final long LEAST_TOKENS_CHANGE = 1_024;
+    /** Smallest change of the token count that is reported on its own; avoids an update for each token generated. */
+    private static final long MIN_TOKENS_CHANGE = 1_024;
 
     private record Key(InstanceId instance, String target) {
-        // Written out for the same reason as in InstanceId.
+        // Implemented explicitly for the same reason as in InstanceId.
         @Override
         public boolean equals(Object other) {
             return other instanceof Key that && target.equals(that.target) && instance.equals(that.instance);
@@ -48,24 +48,24 @@
         }
     }
 
-    private record Row(Run run, TargetLoad load) {
-        static boolean same(Row a, Row b) {
+    private record RunLoad(Run run, TargetLoad load) {
+        static boolean isSame(RunLoad a, RunLoad b) {
             return a.run.equals(b.run) && a.load.equals(b.load);
         }
     }
 
-    /** What one instance has stated. */
-    private static final class Stated {
+    /** The loads that one instance has reported. */
+    private static final class ReportedLoads {
         private final Map<String, TargetLoad> loads = new HashMap<>();
         private final Map<String, Long> ended = new HashMap<>();
         private Incarnation incarnation;
         private boolean counted = true;
 
-        Stated(Incarnation incarnation) {
+        ReportedLoads(Incarnation incarnation) {
             this.incarnation = incarnation;
         }
 
-        void take(TargetLoad load, long now) {
+        void update(TargetLoad load, long now) {
             if (isEmpty(load)) {
                 loads.remove(load.getTarget());
                 ended.put(load.getTarget(), now);
@@ -81,18 +81,18 @@
     }
 
     private final Run self;
-    private final TimerService timer;
-    private final NewestRows<Key, Row> rows = new NewestRows<>(
-            Comparator.<Row, Incarnation>comparing(row -> row.run().incarnation())
-                    .thenComparingLong(row -> row.load().getNumber()),
-            Row::same);
-    private final Map<InstanceId, Stated> instances = new HashMap<>();
-    private long number;
+    private final TimerService timers;
+    private final ReplicatedTable<Key, RunLoad> table = new ReplicatedTable<>(
+            Comparator.<RunLoad, Incarnation>comparing(runLoad -> runLoad.run().incarnation())
+                    .thenComparingLong(runLoad -> runLoad.load().getNumber()),
+            RunLoad::isSame);
+    private final Map<InstanceId, ReportedLoads> instances = new HashMap<>();
+    private long lastNumber;
 
-    LoadTable(Run self, TimerService timer) {
+    LoadTable(Run self, TimerService timers) {
         this.self = Objects.requireNonNull(self, "self");
-        this.timer = Objects.requireNonNull(timer, "timer");
-        instances.put(self.instance(), new Stated(self.incarnation()));
+        this.timers = Objects.requireNonNull(timers, "timers");
+        instances.put(self.instance(), new ReportedLoads(self.incarnation()));
     }
 
     private static boolean isEmpty(TargetLoad load) {
@@ -102,59 +102,60 @@
                 && load.getFailures() == 0;
     }
 
-    /** States what this instance has in flight, which replaces what it stated before. */
-    synchronized void state(List<TargetLoad> loads) {
-        Stated own = instances.get(self.instance());
-        Map<String, TargetLoad> next = new HashMap<>();
-        loads.forEach(load -> next.put(load.getTarget(), load));
+    /** Reports the in-flight load of this instance, which replaces its previous report. */
+    synchronized void reportOwn(List<TargetLoad> loads) {
+        ReportedLoads own = instances.get(self.instance());
+        Map<String, TargetLoad> current = new HashMap<>();
+        loads.forEach(load -> current.put(load.getTarget(), load));
         for (String target : Set.copyOf(own.loads.keySet())) {
-            next.putIfAbsent(target, new TargetLoad(target, 0, 0));
+            current.putIfAbsent(target, new TargetLoad(target, 0, 0));
         }
-        next.values().forEach(load -> {
+        current.values().forEach(load -> {
             TargetLoad before = own.loads.get(load.getTarget());
-            boolean same = before != null
+            boolean unchanged = before != null
                     && before.getRequests() == load.getRequests()
-                    && Math.abs(before.getTokens() - load.getTokens()) < LEAST_TOKENS_CHANGE
+                    && Math.abs(before.getTokens() - load.getTokens()) < MIN_TOKENS_CHANGE
                     && before.getUnreadTokens() == load.getUnreadTokens()
                     && before.getFailures() == load.getFailures();
-            if (!same) {
-                state(own, load);
+            if (!unchanged) {
+                reportOwn(own, load);
             }
         });
     }
 
-    private void state(Stated own, TargetLoad load) {
-        TargetLoad numbered = new TargetLoad(load).setNumber(++number);
-        own.take(numbered, timer.nanos());
-        rows.put(new Key(self.instance(), load.getTarget()), new Row(self, numbered), NewestRows.LOCAL);
+    private void reportOwn(ReportedLoads own, TargetLoad load) {
+        TargetLoad numbered = new TargetLoad(load).setNumber(++lastNumber);
+        own.update(numbered, timers.nanos());
+        table.put(new Key(self.instance(), load.getTarget()), new RunLoad(self, numbered), ReplicatedTable.LOCAL);
     }
 
     /**
-     * Takes statements that a peer passed on.
+     * Stores reports that a peer has passed on.
      *
-     * @param via the link that they came by
-     * @param changed told of each instance whose load changed, with all of its load
-     * @return whether there was anything new
-     * @throws IllegalArgumentException if a field is not valid; nothing is taken then
+     * @param reports the loads, by run
+     * @param sourceLink the link they arrived on
+     * @param listener called for each instance whose load changed, with all of its loads
+     * @return whether any load changed
+     * @throws IllegalArgumentException if a field is invalid; nothing is stored in this case
      */
     synchronized boolean receive(
-            List<InstanceLoads> statements, int via, BiConsumer<InstanceId, List<TargetLoad>> changed) {
-        List<Row> received = new ArrayList<>();
-        for (InstanceLoads statement : statements) {
-            Run run = new Run(new InstanceId(statement.getInstance()), new Incarnation(statement.getIncarnation()));
-            statement.getLoads().forEach(load -> received.add(new Row(run, checked(load))));
+            List<InstanceLoads> reports, int sourceLink, BiConsumer<InstanceId, List<TargetLoad>> listener) {
+        List<RunLoad> received = new ArrayList<>();
+        for (InstanceLoads report : reports) {
+            Run run = new Run(new InstanceId(report.getInstance()), new Incarnation(report.getIncarnation()));
+            report.getLoads().forEach(load -> received.add(new RunLoad(run, checked(load))));
         }
-        Set<InstanceId> news = new HashSet<>();
+        Set<InstanceId> changed = new HashSet<>();
         received.stream()
-                .filter(row -> take(row, via))
-                .forEach(row -> news.add(row.run().instance()));
-        for (InstanceId instance : news) {
-            Stated stated = instances.get(instance);
-            if (stated.counted && !instance.equals(self.instance())) {
-                changed.accept(instance, stated.counted());
+                .filter(runLoad -> store(runLoad, sourceLink))
+                .forEach(runLoad -> changed.add(runLoad.run().instance()));
+        for (InstanceId instance : changed) {
+            ReportedLoads reported = instances.get(instance);
+            if (reported.counted && !instance.equals(self.instance())) {
+                listener.accept(instance, reported.counted());
             }
         }
-        return !news.isEmpty();
+        return !changed.isEmpty();
     }
 
     private static TargetLoad checked(TargetLoad load) {
@@ -164,114 +165,120 @@
         }
         if (load.getFailures() < 0 || load.getAnswers() < load.getFailures()) {
             throw new IllegalArgumentException(
-                    "failures of " + load.getTarget() + " must be 0 to the number of answers: " + load);
+                    "failures of " + load.getTarget() + " must be between 0 and the number of answers: " + load);
         }
         return load;
     }
 
-    private boolean take(Row row, int via) {
-        InstanceId instance = row.run().instance();
+    private boolean store(RunLoad runLoad, int sourceLink) {
+        InstanceId instance = runLoad.run().instance();
         if (instance.equals(self.instance())) {
-            return correct(row);
+            return correctOwn(runLoad);
         }
-        Stated stated =
-                instances.computeIfAbsent(instance, i -> new Stated(row.run().incarnation()));
-        int order = row.run().incarnation().compareTo(stated.incarnation);
+        ReportedLoads reported = instances.computeIfAbsent(
+                instance, i -> new ReportedLoads(runLoad.run().incarnation()));
+        int order = runLoad.run().incarnation().compareTo(reported.incarnation);
         if (order < 0) {
             return false;
         }
         if (order > 0) {
-            startAnew(instance, stated, row.run().incarnation());
+            reset(instance, reported, runLoad.run().incarnation());
         }
-        boolean isNew = rows.put(new Key(instance, row.load().getTarget()), row, via);
+        boolean isNew = table.put(new Key(instance, runLoad.load().getTarget()), runLoad, sourceLink);
         if (isNew) {
-            stated.take(row.load(), timer.nanos());
+            reported.update(runLoad.load(), timers.nanos());
         }
         return isNew;
     }
 
-    /** States again what a peer, cut off for long, has wrong about this run. */
-    private boolean correct(Row row) {
-        Stated own = instances.get(self.instance());
-        String target = row.load().getTarget();
-        boolean known = rows.get(new Key(self.instance(), target))
-                .filter(mine -> mine.load().getNumber() >= row.load().getNumber())
+    /**
+     * Reports the load of this run again if a peer passes on an old report that this instance no longer stores, as one
+     * that was disconnected for long may do.
+     */
+    private boolean correctOwn(RunLoad runLoad) {
+        ReportedLoads own = instances.get(self.instance());
+        String target = runLoad.load().getTarget();
+        boolean known = table.get(new Key(self.instance(), target))
+                .filter(stored -> stored.load().getNumber() >= runLoad.load().getNumber())
                 .isPresent();
-        if (known || !row.run().equals(self)) {
+        if (known || !runLoad.run().equals(self)) {
             return false;
         }
-        number = Math.max(number, row.load().getNumber());
-        state(own, own.loads.getOrDefault(target, new TargetLoad(target, 0, 0)));
+        lastNumber = Math.max(lastNumber, runLoad.load().getNumber());
+        reportOwn(own, own.loads.getOrDefault(target, new TargetLoad(target, 0, 0)));
         return true;
     }
 
-    private void startAnew(InstanceId instance, Stated stated, Incarnation incarnation) {
-        stated.loads.keySet().forEach(target -> rows.remove(new Key(instance, target)));
-        stated.ended.keySet().forEach(target -> rows.remove(new Key(instance, target)));
-        stated.loads.clear();
-        stated.ended.clear();
-        stated.incarnation = incarnation;
+    private void reset(InstanceId instance, ReportedLoads reported, Incarnation incarnation) {
+        reported.loads.keySet().forEach(target -> table.remove(new Key(instance, target)));
+        reported.ended.keySet().forEach(target -> table.remove(new Key(instance, target)));
+        reported.loads.clear();
+        reported.ended.clear();
+        reported.incarnation = incarnation;
     }
 
     /**
-     * Counts the load of those instances only that are heard of, and forgets what is long past.
+     * Excludes the loads of unresponsive instances, counts those of instances that respond again, and removes expired
+     * reports.
      *
-     * @param member returns what is known of an instance
-     * @param changed told of each instance whose load is counted from now on, or no longer
+     * @param member looks up the member record of an instance
+     * @param listener called for each instance whose loads are counted again or no longer counted, with the loads to
+     *     count
      */
     synchronized void tick(
-            Function<InstanceId, Optional<MemberInfo>> member, BiConsumer<InstanceId, List<TargetLoad>> changed) {
-        long now = timer.nanos();
-        instances.forEach((instance, stated) -> {
-            stated.ended.entrySet().removeIf(ended -> {
-                boolean old = now - ended.getValue() > ENDED_MEMORY_NANOS;
-                if (old) {
-                    rows.remove(new Key(instance, ended.getKey()));
+            Function<InstanceId, Optional<MemberInfo>> member, BiConsumer<InstanceId, List<TargetLoad>> listener) {
+        long now = timers.nanos();
+        instances.forEach((instance, reported) -> {
+            reported.ended.entrySet().removeIf(ended -> {
+                boolean expired = now - ended.getValue() > ENDED_RETENTION_NANOS;
+                if (expired) {
+                    table.remove(new Key(instance, ended.getKey()));
                 }
-                return old;
+                return expired;
             });
             if (instance.equals(self.instance())) {
                 return;
             }
             Optional<MemberInfo> known = member.apply(instance);
-            known.filter(m -> m.incarnation().compareTo(stated.incarnation) > 0).ifPresent(m -> {
-                startAnew(instance, stated, m.incarnation());
-                changed.accept(instance, List.of());
-            });
-            boolean heard = known.map(m -> m.status() == Status.LIVE || m.status() == Status.LEAVING)
+            known.filter(m -> m.incarnation().compareTo(reported.incarnation) > 0)
+                    .ifPresent(m -> {
+                        reset(instance, reported, m.incarnation());
+                        listener.accept(instance, List.of());
+                    });
+            boolean responsive = known.map(m -> m.status() == Status.LIVE || m.status() == Status.LEAVING)
                     .orElse(true);
-            if (heard != stated.counted) {
-                stated.counted = heard;
-                changed.accept(instance, stated.counted());
+            if (responsive != reported.counted) {
+                reported.counted = responsive;
+                listener.accept(instance, reported.counted());
             }
         });
     }
 
-    /** Forgets an instance that has gone. */
+    /** Removes the reports of an instance that is gone. */
     synchronized void forget(InstanceId instance) {
-        Stated stated = instances.remove(instance);
-        if (stated != null) {
-            startAnew(instance, stated, stated.incarnation);
+        ReportedLoads reported = instances.remove(instance);
+        if (reported != null) {
+            reset(instance, reported, reported.incarnation);
         }
     }
 
-    /** Returns whether a link has not been sent all that it lacks. */
+    /** Returns whether there are changes that have not been sent on a link yet. */
     boolean hasChanges(long since, int link) {
-        return rows.hasChanges(since, link);
+        return table.hasChanges(since, link);
     }
 
-    /** Returns what a link has not been sent yet, by instance. */
-    synchronized NewestRows.Batch<InstanceLoads> changes(long since, int link, int most) {
-        NewestRows.Batch<Row> batch = rows.changes(since, link, most);
+    /** Returns up to {@code maxLoads} changes that have not been sent on a link yet, grouped by run. */
+    synchronized ReplicatedTable.Batch<InstanceLoads> changes(long since, int link, int maxLoads) {
+        ReplicatedTable.Batch<RunLoad> batch = table.changes(since, link, maxLoads);
         Map<Run, InstanceLoads> byRun = new LinkedHashMap<>();
         batch.values()
-                .forEach(row -> byRun.computeIfAbsent(
-                                row.run(),
+                .forEach(runLoad -> byRun.computeIfAbsent(
+                                runLoad.run(),
                                 run -> new InstanceLoads(
                                         run.instance().value(),
                                         run.incarnation().value(),
                                         new ArrayList<>()))
-                        .addToLoads(row.load()));
-        return new NewestRows.Batch<>(List.copyOf(byRun.values()), batch.serial(), batch.complete());
+                        .addToLoads(runLoad.load()));
+        return new ReplicatedTable.Batch<>(List.copyOf(byRun.values()), batch.serial(), batch.complete());
     }
 }
--- a/core/src/main/java/org/verbenatally/peer/MemberRow.java
+++ b/core/src/main/java/org/verbenatally/peer/MemberRecord.java
@@ -13,8 +13,8 @@
 import org.verbenatally.wire.Member;
 import org.verbenatally.wire.MemberState;
 
-/** One run of an instance as its members gossip it. Immutable; {@link #merge} is commutative and idempotent. */
-record MemberRow(
+/** State of one run of an instance as exchanged by gossip. Immutable; {@link #merge} is commutative and idempotent. */
+record MemberRecord(
         Run run,
         Address address,
         FailureDomain failureDomain,
@@ -26,7 +26,7 @@
 
     static final String DEFAULT_REGION = "default";
 
-    /** 27 bits: as a compact Thrift number such a hash takes four bytes, and at 330 rows two rarely collide. */
+    /** 27 bits: such a hash takes four bytes as a compact Thrift integer, and collisions are rare among 330 records. */
     private static final int HASH_MASK = (1 << 27) - 1;
 
     /** One run of an instance. */
@@ -34,7 +34,7 @@
         private static final Comparator<Run> ORDER =
                 Comparator.comparing(Run::instance).thenComparing(Run::incarnation);
 
-        // Written out for the same reason as in InstanceId.
+        // Implemented explicitly for the same reason as in InstanceId.
         @Override
         public boolean equals(Object other) {
             return other instanceof Run that && incarnation.equals(that.incarnation) && instance.equals(that.instance);
@@ -51,22 +51,22 @@
         }
     }
 
-    MemberRow {
+    MemberRecord {
         Objects.requireNonNull(run, "run");
         if (heartbeat < 0) {
             throw new IllegalArgumentException("heartbeat must not be negative: " + heartbeat);
         }
     }
 
-    /** Reads a row from a peer; throws {@link IllegalArgumentException} if a field is not valid. */
-    static MemberRow of(Member m) {
+    /** Decodes a record received from a peer; throws {@link IllegalArgumentException} if a field is invalid. */
+    static MemberRecord of(Member m) {
         Optional<Run> successor = Optional.empty();
         if (m.getKeySuccessor() != null) {
             successor = Optional.of(
                     new Run(new InstanceId(m.getKeySuccessor()), new Incarnation(m.getKeySuccessorIncarnation())));
         }
         String region = m.getRegion() == null ? DEFAULT_REGION : new FailureDomain(m.getRegion()).value();
-        return new MemberRow(
+        return new MemberRecord(
                 new Run(new InstanceId(m.getInstance()), new Incarnation(m.getIncarnation())),
                 new Address(m.getHost(), m.getPeerPort()),
                 new FailureDomain(m.getFailureDomain()),
@@ -97,15 +97,15 @@
         return m;
     }
 
-    /** Returns the union of what two rows of one run say: the higher value of each field. */
-    MemberRow merge(MemberRow other) {
+    /** Merges two records of the same run: the higher value of each field wins. */
+    MemberRecord merge(MemberRecord other) {
         if (!run.equals(other.run)) {
-            throw new IllegalArgumentException("rows of two runs: " + run + ", " + other.run);
+            throw new IllegalArgumentException("records of different runs: " + run + ", " + other.run);
         }
-        boolean own = address.toString().compareTo(other.address.toString()) >= 0;
-        return new MemberRow(
+        boolean ownAddressWins = address.toString().compareTo(other.address.toString()) >= 0;
+        return new MemberRecord(
                 run,
-                own ? address : other.address,
+                ownAddressWins ? address : other.address,
                 max(failureDomain, other.failureDomain, Comparator.comparing(FailureDomain::value)),
                 max(region, other.region, Comparator.naturalOrder()),
                 max(state, other.state, Comparator.comparingInt(MemberState::getValue)),
@@ -114,20 +114,27 @@
                 mergeSuccessor(successor, other.successor));
     }
 
-    MemberRow with(MemberState newState, Optional<Run> newSuccessor) {
-        return new MemberRow(run, address, failureDomain, region, newState, heartbeat, configVersion, newSuccessor);
+    MemberRecord withState(MemberState newState, Optional<Run> newSuccessor) {
+        return new MemberRecord(run, address, failureDomain, region, newState, heartbeat, configVersion, newSuccessor);
     }
 
-    MemberRow beat(long newHeartbeat, ConfigVersion version) {
-        return new MemberRow(run, address, failureDomain, region, state, newHeartbeat, version, successor);
+    MemberRecord withHeartbeat(long newHeartbeat, ConfigVersion version) {
+        return new MemberRecord(run, address, failureDomain, region, state, newHeartbeat, version, successor);
     }
 
-    /** Returns the form in which an earlier run is remembered, without what no longer matters. */
-    MemberRow departed() {
-        return new MemberRow(run, address, failureDomain, region, MemberState.LEFT, 0, ConfigVersion.NONE, successor);
+    /**
+     * Returns the record kept for an earlier run, in state {@code LEFT} and without heartbeat and configuration
+     * version.
+     */
+    MemberRecord asLeft() {
+        return new MemberRecord(
+                run, address, failureDomain, region, MemberState.LEFT, 0, ConfigVersion.NONE, successor);
     }
 
-    /** Returns a short hash of the run, the state and the successor. */
+    /**
+     * Returns a short hash of the run, the state and the successor. Peers compare these hashes, so the text form of
+     * {@link Run} must be the same on all instances.
+     */
     int hash() {
         String text = run + "/" + state + "/" + successor;
         return (int) Hashing.komihash5_0().hashCharsToLong(text) & HASH_MASK;
--- a/core/src/main/java/org/verbenatally/peer/Membership.java
+++ b/core/src/main/java/org/verbenatally/peer/Membership.java
@@ -16,424 +16,432 @@
 import org.verbenatally.core.ConfigVersion;
 import org.verbenatally.core.InstanceId;
 import org.verbenatally.peer.MemberInfo.Status;
-import org.verbenatally.peer.MemberRow.Run;
+import org.verbenatally.peer.MemberRecord.Run;
 import org.verbenatally.time.TimerService;
 import org.verbenatally.wire.Beats;
 import org.verbenatally.wire.MemberState;
 
 /**
- * The member table. It knows no links: rows and heartbeats come in with the number of the link that brought them, and
- * {@link #changes} returns what a link has not been sent yet. All methods may be called from any thread.
+ * The member table. It is independent of the links themselves: records and heartbeats are passed in with the number of
+ * the link they arrived on, and {@link #changes} returns what has not been sent on a link yet. Thread-safe.
  */
 final class Membership {
     private static final Logger LOG = Logger.getLogger(Membership.class);
 
-    /** Most rows that a table holds; more can only come from a faulty peer. */
-    private static final int MAX_ROWS = 8_192;
+    /** Maximum number of records in the table; only a faulty peer can send more. */
+    private static final int MAX_RECORDS = 8_192;
 
-    /** Forgotten rows stay barred this many forget periods, so that a slow peer cannot bring them back. */
+    /** A forgotten run leaves a tombstone for this many forget periods, so that a slow peer cannot reintroduce it. */
     private static final int TOMBSTONE_PERIODS = 12;
 
-    /** An unknown row is asked for again after this many gossip periods. */
-    private static final int ASK_AGAIN_PERIODS = 4;
+    /** The request for an unknown record is repeated after this many gossip periods. */
+    private static final int REQUEST_RETRY_PERIODS = 4;
 
-    /** Marks a change that no link brought. */
+    /** Source link number of a change made by this instance. */
     static final int LOCAL = -1;
 
-    /** Stands for two rows with one hash; their beats are sent as whole rows. */
-    private static final Row COLLISION = new Row();
+    /** Placeholder for records whose hashes collide; their heartbeats are sent as complete records. */
+    private static final TrackedRun COLLISION = new TrackedRun();
 
     private final Run self;
     private final PeerTimings timings;
     private final TimerService timers;
-    private final Map<Run, Row> rows = new TreeMap<>();
-    private final Map<InstanceId, Row> current = new TreeMap<>();
-    private final Map<Integer, Row> byHash = new HashMap<>();
-    private final Map<Integer, Long> asked = new HashMap<>();
+    private final Map<Run, TrackedRun> runs = new TreeMap<>();
+    private final Map<InstanceId, TrackedRun> latestRuns = new TreeMap<>();
+    private final Map<Integer, TrackedRun> byHash = new HashMap<>();
+    private final Map<Integer, Long> requestedAt = new HashMap<>();
     private final Map<Run, Tombstone> tombstones = new HashMap<>();
     private long serial = 1;
     private long pauseGeneration;
     private long staleUntil;
-    private long nextBeat;
-    private int fleet;
+    private long nextHeartbeat;
+    private int fleetSize;
     private long suspectNanos;
     private long goneNanos;
-    private boolean namesakeSeen;
+    private boolean duplicateIdSeen;
 
-    private static final class Row {
-        private MemberRow row;
+    private static final class TrackedRun {
+        private MemberRecord member;
         private int hash;
-        private long advanced;
+        private long lastAdvance;
         private long stateSerial;
-        private int stateVia;
-        private long beatSerial;
-        private int beatVia;
+        private int stateSource;
+        private long heartbeatSerial;
+        private int heartbeatSource;
         private boolean gone;
     }
 
     private record Tombstone(long heartbeat, long until, Address address) {}
 
     /**
-     * What a link has not been sent yet.
+     * Changes that have not been sent on a link yet.
      *
-     * @param rows rows that changed in more than the heartbeat
-     * @param beats heartbeats that advanced
+     * @param records records in which more than the heartbeat or the configuration version changed
+     * @param heartbeats heartbeats and configuration versions of the records in which only these changed
      * @param serial value to pass to the next call
      */
-    record Changes(List<MemberRow> rows, Beats beats, long serial) {}
+    record Changes(List<MemberRecord> records, Beats heartbeats, long serial) {}
 
-    Membership(MemberRow own, PeerTimings timings, TimerService timers) {
+    Membership(MemberRecord own, PeerTimings timings, TimerService timers) {
         this.self = own.run();
         this.timings = timings;
         this.timers = timers;
-        setFleet(1);
+        setFleetSize(1);
         pauseGeneration = timers.pauseGeneration();
-        nextBeat = timers.nanos();
+        nextHeartbeat = timers.nanos();
         put(own, LOCAL);
-        // A new instance knows nothing yet; the same rule as after a pause holds until its first round.
+        // A new instance knows no other members yet, so its table is stale at first, as after a pause.
         staleUntil = timers.nanos() + timings.suspect().toNanos();
     }
 
-    /** Merges rows and returns whether one of them says that a member is leaving, has left or was replaced. */
-    synchronized boolean merge(Collection<MemberRow> received, int via) {
+    /** Merges records and returns whether any of them shows that a member is leaving, has left or was replaced. */
+    synchronized boolean merge(Collection<MemberRecord> received, int sourceLink) {
         checkPause();
         boolean urgent = false;
-        for (MemberRow r : received) {
-            urgent |= merge(r, via);
+        for (MemberRecord r : received) {
+            urgent |= merge(r, sourceLink);
         }
         return urgent;
     }
 
-    private boolean merge(MemberRow r, int via) {
-        Tombstone barred = tombstones.get(r.run());
-        if (r.run().equals(self) || barred != null && r.heartbeat() <= barred.heartbeat()) {
+    private boolean merge(MemberRecord r, int sourceLink) {
+        Tombstone tombstone = tombstones.get(r.run());
+        if (r.run().equals(self) || tombstone != null && r.heartbeat() <= tombstone.heartbeat()) {
             return false;
         }
         if (r.run().compareTo(self) > 0 && r.run().instance().equals(self.instance())) {
-            warnOfNamesake(r);
+            warnOfDuplicateId(r);
             return false;
         }
-        Row known = rows.get(r.run());
-        Row latest = current.get(r.run().instance());
-        boolean earlier = latest != null
-                && latest.row.run().incarnation().compareTo(r.run().incarnation()) > 0;
-        if (earlier) {
+        TrackedRun known = runs.get(r.run());
+        TrackedRun latest = latestRuns.get(r.run().instance());
+        boolean isEarlierRun = latest != null
+                && latest.member.run().incarnation().compareTo(r.run().incarnation()) > 0;
+        if (isEarlierRun) {
             if (r.successor().isPresent()) {
-                return put(known == null ? r.departed() : known.row.merge(r.departed()), via);
+                return put(known == null ? r.asLeft() : known.member.merge(r.asLeft()), sourceLink);
             }
             return false;
         }
-        if (known == null && rows.size() >= MAX_ROWS) {
-            throw new IllegalArgumentException("more than " + MAX_ROWS + " members");
+        if (known == null && runs.size() >= MAX_RECORDS) {
+            throw new IllegalArgumentException("more than " + MAX_RECORDS + " members");
         }
-        return put(known == null ? r : known.row.merge(r), via) && (latest != null || r.state() != MemberState.LIVE);
+        return put(known == null ? r : known.member.merge(r), sourceLink)
+                && (latest != null || r.state() != MemberState.LIVE);
     }
 
-    private void warnOfNamesake(MemberRow r) {
-        if (!namesakeSeen) {
-            namesakeSeen = true;
+    private void warnOfDuplicateId(MemberRecord r) {
+        if (!duplicateIdSeen) {
+            duplicateIdSeen = true;
             LOG.errorf(
                     "peer: another run of instance %s is live at %s; ids must be unique", self.instance(), r.address());
         }
     }
 
-    /** Stores a row and returns whether more than its heartbeat or version changed. */
-    private boolean put(MemberRow r, int via) {
-        Row row = rows.get(r.run());
+    /** Stores a record and returns whether more than its heartbeat or configuration version changed. */
+    private boolean put(MemberRecord r, int sourceLink) {
+        TrackedRun tracked = runs.get(r.run());
         long now = timers.nanos();
-        boolean isNew = row == null;
+        boolean isNew = tracked == null;
         if (isNew) {
-            row = new Row();
-            row.advanced = now;
-            rows.put(r.run(), row);
-            supersede(r.run(), row);
+            tracked = new TrackedRun();
+            tracked.lastAdvance = now;
+            runs.put(r.run(), tracked);
+            supersede(r.run(), tracked);
         }
-        boolean advanced = isNew || r.heartbeat() > row.row.heartbeat();
+        boolean advanced = isNew || r.heartbeat() > tracked.member.heartbeat();
         boolean changed =
-                isNew || r.state() != row.row.state() || !r.successor().equals(row.row.successor());
+                isNew || r.state() != tracked.member.state() || !r.successor().equals(tracked.member.successor());
         if (advanced) {
-            row.advanced = now;
-            row.gone &= r.state() == MemberState.LEFT;
+            tracked.lastAdvance = now;
+            tracked.gone &= r.state() == MemberState.LEFT;
         }
-        if (advanced || !r.configVersion().equals(row.row.configVersion())) {
-            row.beatSerial = ++serial;
-            row.beatVia = via;
+        if (advanced || !r.configVersion().equals(tracked.member.configVersion())) {
+            tracked.heartbeatSerial = ++serial;
+            tracked.heartbeatSource = sourceLink;
         }
-        row.row = r;
+        tracked.member = r;
         if (changed) {
-            byHash.remove(row.hash, row);
-            row.hash = r.hash();
-            byHash.merge(row.hash, row, (a, b) -> a == b ? a : COLLISION);
-            row.stateSerial = ++serial;
-            row.stateVia = via;
+            byHash.remove(tracked.hash, tracked);
+            tracked.hash = r.hash();
+            byHash.merge(tracked.hash, tracked, (a, b) -> a == b ? a : COLLISION);
+            tracked.stateSerial = ++serial;
+            tracked.stateSource = sourceLink;
         }
         return changed;
     }
 
-    private void supersede(Run run, Row row) {
-        Row before = current.get(run.instance());
+    private void supersede(Run run, TrackedRun tracked) {
+        TrackedRun before = latestRuns.get(run.instance());
         if (before == null) {
-            current.put(run.instance(), row);
-        } else if (before.row.run().incarnation().compareTo(run.incarnation()) < 0) {
-            current.put(run.instance(), row);
-            if (before.row.successor().isPresent()) {
-                put(before.row.departed(), LOCAL);
+            latestRuns.put(run.instance(), tracked);
+        } else if (before.member.run().incarnation().compareTo(run.incarnation()) < 0) {
+            latestRuns.put(run.instance(), tracked);
+            if (before.member.successor().isPresent()) {
+                put(before.member.asLeft(), LOCAL);
             } else {
                 remove(before);
             }
         }
     }
 
-    private void remove(Row row) {
-        rows.remove(row.row.run());
-        byHash.remove(row.hash, row);
-        current.remove(row.row.run().instance(), row);
+    private void remove(TrackedRun tracked) {
+        runs.remove(tracked.member.run());
+        byHash.remove(tracked.hash, tracked);
+        latestRuns.remove(tracked.member.run().instance(), tracked);
     }
 
-    /** Applies heartbeats and returns the hashes of rows to ask the peer for. */
-    synchronized List<Integer> apply(Beats beats, long frameVersion, int via) {
+    /** Applies heartbeats and returns the hashes of unknown records, which the peer is to be asked for. */
+    synchronized List<Integer> applyHeartbeats(Beats heartbeats, long frameVersion, int sourceLink) {
         checkPause();
-        int n = beats.getRowsSize();
-        if (beats.getHeartbeatsSize() != n || beats.getVersionLagsSize() != n) {
-            throw new IllegalArgumentException("beats must have lists of one length");
+        int n = heartbeats.getRowsSize();
+        if (heartbeats.getHeartbeatsSize() != n || heartbeats.getVersionLagsSize() != n) {
+            throw new IllegalArgumentException("lists of heartbeats must have the same length");
         }
         List<Integer> unknown = new ArrayList<>();
         long now = timers.nanos();
-        long askAgain = timings.gossip().multipliedBy(ASK_AGAIN_PERIODS).toNanos();
+        long retryNanos = timings.gossip().multipliedBy(REQUEST_RETRY_PERIODS).toNanos();
         for (int i = 0; i < n; i++) {
-            int hash = beats.getRows().get(i);
-            Row row = byHash.get(hash);
-            if (row == null || row == COLLISION) {
-                Long before = asked.get(hash);
-                if (before == null || now - before > askAgain) {
-                    asked.put(hash, now);
+            int hash = heartbeats.getRows().get(i);
+            TrackedRun tracked = byHash.get(hash);
+            if (tracked == null || tracked == COLLISION) {
+                Long before = requestedAt.get(hash);
+                if (before == null || now - before > retryNanos) {
+                    requestedAt.put(hash, now);
                     unknown.add(hash);
                 }
                 continue;
             }
-            MemberRow r = row.row;
-            long heartbeat = beats.getHeartbeats().get(i);
+            MemberRecord r = tracked.member;
+            long heartbeat = heartbeats.getHeartbeats().get(i);
             ConfigVersion version = new ConfigVersion(
-                    Math.max(0, frameVersion - beats.getVersionLags().get(i)));
+                    Math.max(0, frameVersion - heartbeats.getVersionLags().get(i)));
             boolean newer = version.compareTo(r.configVersion()) > 0;
             if (!r.run().equals(self) && (heartbeat > r.heartbeat() || newer)) {
-                put(r.beat(Math.max(heartbeat, r.heartbeat()), newer ? version : r.configVersion()), via);
+                put(
+                        r.withHeartbeat(Math.max(heartbeat, r.heartbeat()), newer ? version : r.configVersion()),
+                        sourceLink);
             }
         }
         return unknown;
     }
 
-    /** Returns the rows that a peer has asked for, as far as they are known. */
-    synchronized List<MemberRow> rows(Collection<Integer> hashes) {
+    /** Returns the records that a peer has asked for, as far as they are known. */
+    synchronized List<MemberRecord> recordsFor(Collection<Integer> hashes) {
         Set<Integer> wanted = Set.copyOf(hashes);
-        return rows.values().stream()
+        return runs.values().stream()
                 .filter(r -> wanted.contains(r.hash))
-                .map(r -> r.row)
+                .map(r -> r.member)
                 .toList();
     }
 
-    /** Returns what has changed since the given serials, without what came from that link. */
-    synchronized Changes changes(long sinceState, long sinceBeat, long frameVersion, int link) {
+    /** Returns what has changed since the given serials, except for changes that arrived on that link. */
+    synchronized Changes changes(long sinceState, long sinceHeartbeat, long frameVersion, int link) {
         checkPause();
-        List<MemberRow> changed = new ArrayList<>();
-        Beats beats = new Beats(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
+        List<MemberRecord> changed = new ArrayList<>();
+        Beats heartbeats = new Beats(new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
         long now = timers.nanos();
-        for (Row row : rows.values()) {
-            // Rows of silent members are not passed on, or members that forgot them would learn them again.
-            boolean silent = status(row, now) == Status.GONE && row.row.state() != MemberState.LEFT;
-            if (silent) {
+        for (TrackedRun tracked : runs.values()) {
+            // Members with overdue heartbeats are not passed on, or peers that forgot them would add them again.
+            boolean overdue = status(tracked, now) == Status.GONE && tracked.member.state() != MemberState.LEFT;
+            if (overdue) {
                 continue;
             }
-            boolean beat = row.beatSerial > sinceBeat && row.beatVia != link;
-            boolean collision = byHash.get(row.hash) == COLLISION;
-            if (row.stateSerial > sinceState && row.stateVia != link || beat && collision) {
-                changed.add(row.row);
-            } else if (beat) {
-                beats.addToRows(row.hash);
-                beats.addToHeartbeats(row.row.heartbeat());
-                beats.addToVersionLags(frameVersion - row.row.configVersion().value());
+            boolean heartbeatChanged = tracked.heartbeatSerial > sinceHeartbeat && tracked.heartbeatSource != link;
+            boolean collision = byHash.get(tracked.hash) == COLLISION;
+            if (tracked.stateSerial > sinceState && tracked.stateSource != link || heartbeatChanged && collision) {
+                changed.add(tracked.member);
+            } else if (heartbeatChanged) {
+                heartbeats.addToRows(tracked.hash);
+                heartbeats.addToHeartbeats(tracked.member.heartbeat());
+                heartbeats.addToVersionLags(
+                        frameVersion - tracked.member.configVersion().value());
             }
         }
-        return new Changes(changed, beats, serial);
+        return new Changes(changed, heartbeats, serial);
     }
 
     synchronized long serial() {
         return serial;
     }
 
-    /** Advances the own heartbeat when its period has passed, forgets old rows and returns who is newly gone. */
+    /**
+     * Advances this instance's heartbeat if it is due, removes records that have expired and returns the instances that
+     * have become gone since the last call.
+     */
     synchronized Set<InstanceId> tick() {
         checkPause();
         long now = timers.nanos();
-        if (now - nextBeat >= 0) {
-            // Half a gossip period less, so that a tick that comes a little early does not skip a beat.
-            nextBeat =
-                    now + timings.beatPeriod(fleet).toNanos() - timings.gossip().toNanos() / 2;
-            MemberRow own = rows.get(self).row;
-            put(own.beat(own.heartbeat() + 1, own.configVersion()), LOCAL);
+        if (now - nextHeartbeat >= 0) {
+            // Half a gossip period less, so that a slightly early tick does not skip a heartbeat.
+            nextHeartbeat = now
+                    + timings.heartbeatPeriod(fleetSize).toNanos()
+                    - timings.gossip().toNanos() / 2;
+            MemberRecord own = runs.get(self).member;
+            put(own.withHeartbeat(own.heartbeat() + 1, own.configVersion()), LOCAL);
         }
-        setFleet(size());
+        setFleetSize(memberCount());
         Set<InstanceId> newlyGone = new HashSet<>();
-        long askAgain = timings.gossip().multipliedBy(ASK_AGAIN_PERIODS).toNanos();
-        asked.values().removeIf(t -> now - t > askAgain);
+        long retryNanos = timings.gossip().multipliedBy(REQUEST_RETRY_PERIODS).toNanos();
+        requestedAt.values().removeIf(t -> now - t > retryNanos);
         tombstones.values().removeIf(t -> now - t.until() > 0);
-        for (Row row : List.copyOf(rows.values())) {
-            Run run = row.row.run();
-            if (status(row, now) != Status.GONE) {
+        for (TrackedRun tracked : List.copyOf(runs.values())) {
+            Run run = tracked.member.run();
+            if (status(tracked, now) != Status.GONE) {
                 continue;
             }
-            if (!row.gone) {
-                row.gone = true;
-                if (current.get(run.instance()) == row) {
+            if (!tracked.gone) {
+                tracked.gone = true;
+                if (latestRuns.get(run.instance()) == tracked) {
                     newlyGone.add(run.instance());
                 }
             }
-            Duration memory = row.row.successor().isPresent() ? timings.successorMemory() : timings.forget();
-            if (now - row.advanced > memory.toNanos()) {
-                remove(row);
+            Duration retention = tracked.member.successor().isPresent() ? timings.successorMemory() : timings.forget();
+            if (now - tracked.lastAdvance > retention.toNanos()) {
+                remove(tracked);
                 long until =
                         now + timings.forget().multipliedBy(TOMBSTONE_PERIODS).toNanos();
-                tombstones.put(run, new Tombstone(row.row.heartbeat(), until, row.row.address()));
+                tombstones.put(run, new Tombstone(tracked.member.heartbeat(), until, tracked.member.address()));
             }
         }
         return newlyGone;
     }
 
-    private void setFleet(int members) {
-        if (members != fleet) {
-            fleet = members;
-            suspectNanos = timings.suspectAfter(members).toNanos();
-            goneNanos = timings.goneAfter(members).toNanos();
+    private void setFleetSize(int members) {
+        if (members != fleetSize) {
+            fleetSize = members;
+            suspectNanos = timings.suspectTimeout(members).toNanos();
+            goneNanos = timings.goneTimeout(members).toNanos();
         }
     }
 
-    /** Changes the own row; returns whether that is news for the peers. */
-    synchronized boolean setOwn(MemberState state, Optional<Run> successor) {
-        MemberRow own = rows.get(self).row;
-        return put(own.with(state, successor.isPresent() ? successor : own.successor()), LOCAL);
+    /** Updates this instance's record; returns whether it changed. */
+    synchronized boolean setOwnState(MemberState state, Optional<Run> successor) {
+        MemberRecord own = runs.get(self).member;
+        return put(own.withState(state, successor.isPresent() ? successor : own.successor()), LOCAL);
     }
 
     synchronized void setConfigVersion(ConfigVersion version) {
-        MemberRow own = rows.get(self).row;
-        put(own.beat(own.heartbeat(), version), LOCAL);
+        MemberRecord own = runs.get(self).member;
+        put(own.withHeartbeat(own.heartbeat(), version), LOCAL);
     }
 
-    synchronized MemberRow own() {
-        return rows.get(self).row;
+    synchronized MemberRecord ownRecord() {
+        return runs.get(self).member;
     }
 
-    /** Returns the latest run of each known instance. */
+    /** Returns the latest run of each known instance, this one included. */
     synchronized List<MemberInfo> members() {
         checkPause();
         long now = timers.nanos();
-        return current.values().stream()
+        return latestRuns.values().stream()
                 .map(r -> new MemberInfo(
-                        r.row.run().instance(),
-                        r.row.run().incarnation(),
-                        r.row.address(),
-                        r.row.failureDomain(),
+                        r.member.run().instance(),
+                        r.member.run().incarnation(),
+                        r.member.address(),
+                        r.member.failureDomain(),
                         status(r, now),
-                        r.row.configVersion(),
-                        r.row.successor().map(Run::instance)))
+                        r.member.configVersion(),
+                        r.member.successor().map(Run::instance)))
                 .toList();
     }
 
     /** Returns the latest run of an instance, if it is known. */
-    synchronized Optional<MemberRow> current(InstanceId instance) {
-        return Optional.ofNullable(current.get(instance)).map(r -> r.row);
+    synchronized Optional<MemberRecord> latestRun(InstanceId instance) {
+        return Optional.ofNullable(latestRuns.get(instance)).map(r -> r.member);
     }
 
-    /** Returns the live members of the own region, this instance included. */
+    /** Returns the live members in the region of this instance, itself included. */
     synchronized List<InstanceId> liveInRegion() {
         checkPause();
         long now = timers.nanos();
-        String region = rows.get(self).row.region();
-        return current.values().stream()
-                .filter(r -> r.row.region().equals(region) && status(r, now) == Status.LIVE)
-                .map(r -> r.row.run().instance())
+        String region = runs.get(self).member.region();
+        return latestRuns.values().stream()
+                .filter(r -> r.member.region().equals(region) && status(r, now) == Status.LIVE)
+                .map(r -> r.member.run().instance())
                 .toList();
     }
 
-    /** Returns where forgotten members listened; after a long partition they are tried again. */
-    synchronized List<Address> forgotten() {
+    /** Returns the addresses of forgotten members; they are dialled again so that a long partition can heal. */
+    synchronized List<Address> forgottenAddresses() {
         return tombstones.values().stream().map(Tombstone::address).distinct().toList();
     }
 
     /**
-     * Returns the run that answers for the keys of the given run, which is the run itself or the end of a chain of
-     * successors; empty if the run is not known.
+     * Returns the run that owns the keys of the given run: the run itself, or the end of its chain of key successors;
+     * empty if a run of that chain is unknown or the chain is cyclic.
      */
-    synchronized Optional<MemberRow> keyOwner(Run run) {
-        Set<Run> seen = new HashSet<>();
-        Run at = run;
-        while (seen.add(at)) {
-            Row row = rows.get(at);
-            if (row == null) {
+    synchronized Optional<MemberRecord> keyOwner(Run run) {
+        Set<Run> visited = new HashSet<>();
+        Run owner = run;
+        while (visited.add(owner)) {
+            TrackedRun tracked = runs.get(owner);
+            if (tracked == null) {
                 return Optional.empty();
             }
-            if (row.row.successor().isEmpty()) {
-                return Optional.of(row.row);
+            if (tracked.member.successor().isEmpty()) {
+                return Optional.of(tracked.member);
             }
-            at = row.row.successor().get();
+            owner = tracked.member.successor().get();
         }
         return Optional.empty();
     }
 
-    /** Returns whether a run, present or past, has announced another as the successor of its keys. */
+    /** Returns whether a current or earlier run has announced the other run as its key successor. */
     synchronized boolean isSuccessor(Run owner, Run successor) {
-        Row row = rows.get(owner);
-        return row != null && row.row.successor().equals(Optional.of(successor));
+        TrackedRun tracked = runs.get(owner);
+        return tracked != null && tracked.member.successor().equals(Optional.of(successor));
     }
 
-    /** Returns whether what the table says about others may be out of date, after a start or a pause. */
+    /** Returns whether the records of other members may be out of date, after a start or a pause of this process. */
     synchronized boolean isStale() {
         checkPause();
         return timers.nanos() - staleUntil < 0;
     }
 
-    /** Returns how many members there are that are not gone, as of the last tick. */
-    synchronized int fleet() {
-        return fleet;
+    /** Returns the number of members that are not gone, as of the last tick. */
+    synchronized int fleetSize() {
+        return fleetSize;
     }
 
-    synchronized Duration suspectAfter() {
-        return timings.suspectAfter(fleet);
+    synchronized Duration suspectTimeout() {
+        return timings.suspectTimeout(fleetSize);
     }
 
-    /** After a pause all members get a new silence timeout: the silence was this process's own. */
+    /** Restarts the silence timeout of all members after a pause, since the missed heartbeats are due to the pause. */
     private void checkPause() {
         long generation = timers.pauseGeneration();
         if (generation != pauseGeneration) {
             pauseGeneration = generation;
             long now = timers.nanos();
-            rows.values().stream().filter(r -> !r.gone).forEach(r -> r.advanced = now);
-            staleUntil = now + suspectAfter().toNanos();
+            runs.values().stream().filter(r -> !r.gone).forEach(r -> r.lastAdvance = now);
+            staleUntil = now + suspectTimeout().toNanos();
         }
     }
 
-    private Status status(Row row, long now) {
-        if (row.row.run().equals(self)) {
-            return row.row.state() == MemberState.LIVE ? Status.LIVE : Status.LEAVING;
+    private Status status(TrackedRun tracked, long now) {
+        if (tracked.member.run().equals(self)) {
+            return tracked.member.state() == MemberState.LIVE ? Status.LIVE : Status.LEAVING;
         }
-        if (row.row.state() == MemberState.LEFT || row.gone) {
+        if (tracked.member.state() == MemberState.LEFT || tracked.gone) {
             return Status.GONE;
         }
-        long silent = now - row.advanced;
+        long silent = now - tracked.lastAdvance;
         if (silent >= goneNanos) {
             return Status.GONE;
         }
         if (silent >= suspectNanos) {
             return Status.SUSPECT;
         }
-        return row.row.state() == MemberState.LEAVING ? Status.LEAVING : Status.LIVE;
+        return tracked.member.state() == MemberState.LEAVING ? Status.LEAVING : Status.LIVE;
     }
 
-    /** The fleet size that periods and timeouts follow: all members that are not gone. */
-    private int size() {
-        int size = 0;
-        for (Row r : current.values()) {
-            size += r.gone ? 0 : 1;
+    /** Returns the number of members that are not gone, from which periods and timeouts are derived. */
+    private int memberCount() {
+        int count = 0;
+        for (TrackedRun r : latestRuns.values()) {
+            count += r.gone ? 0 : 1;
         }
-        return size;
+        return count;
     }
 }
--- a/core/src/main/java/org/verbenatally/peer/PeerTimings.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerTimings.java
@@ -12,7 +12,7 @@
  * @param forget a member that has been gone for this long is forgotten
  * @param successorMemory how long the key successor of a member that left is remembered; keys live as long
  * @param neighbourRenewal period in which all neighbours have been replaced by others; a new one is sent all tables
- * @param startAsk how long a starting instance waits for the platform and for each peer
+ * @param startupQueryTimeout how long a starting instance waits for the platform and for each peer
  * @param poll period of the configuration reads of an instance that is not a reader
  * @param longPoll longest wait of a reader's read
  */
@@ -24,7 +24,7 @@
         Duration forget,
         Duration successorMemory,
         Duration neighbourRenewal,
-        Duration startAsk,
+        Duration startupQueryTimeout,
         Duration poll,
         Duration longPoll) {
 
@@ -65,7 +65,7 @@
                 forget.dividedBy(n),
                 successorMemory.dividedBy(n),
                 neighbourRenewal.dividedBy(n),
-                startAsk.dividedBy(n),
+                startupQueryTimeout.dividedBy(n),
                 poll.dividedBy(n),
                 longPoll.dividedBy(n));
     }
@@ -75,7 +75,7 @@
      * so the traffic of an instance grows with the number of members over this period; above
      * {@link #FULL_RATE_MEMBERS} the ratio is constant.
      */
-    Duration beatPeriod(int members) {
+    Duration heartbeatPeriod(int members) {
         return max(framePeriod(members), gossip.multipliedBy(members).dividedBy(FULL_RATE_MEMBERS));
     }
 
@@ -85,13 +85,13 @@
     }
 
     /** Returns the suspect timeout in a fleet of this size. */
-    Duration suspectAfter(int members) {
-        return max(suspect, beatPeriod(members).multipliedBy(SUSPECT_PERIODS));
+    Duration suspectTimeout(int members) {
+        return max(suspect, heartbeatPeriod(members).multipliedBy(SUSPECT_PERIODS));
     }
 
     /** Returns the time to gone in a fleet of this size. */
-    Duration goneAfter(int members) {
-        Duration grown = suspectAfter(members).multipliedBy(GONE_RATIO);
+    Duration goneTimeout(int members) {
+        Duration grown = suspectTimeout(members).multipliedBy(GONE_RATIO);
         return max(gone, grown);
     }
 
--- a/core/src/main/java/org/verbenatally/peer/Peers.java
+++ b/core/src/main/java/org/verbenatally/peer/Peers.java
@@ -31,7 +31,7 @@
 import org.verbenatally.core.Step;
 import org.verbenatally.core.StepException;
 import org.verbenatally.peer.FrameCodec.BadFrameException;
-import org.verbenatally.peer.MemberRow.Run;
+import org.verbenatally.peer.MemberRecord.Run;
 import org.verbenatally.time.TimerService;
 import org.verbenatally.time.TimerService.Subscription;
 import org.verbenatally.wire.ForwardCall;
@@ -43,30 +43,33 @@
 import org.verbenatally.wire.PublishedTarget;
 
 /**
- * The peer network of an entry process over TCP: membership, state exchange, forwarding and configuration
- * dissemination. Start one with {@link #start}.
+ * The peer network of an entry process over TCP: membership, state exchange, forwarding and configuration propagation.
+ * Started with {@link #start}.
  *
  * @param <D> the kind of deployment document that the peers pass on
  */
 public final class Peers<D extends VersionedDeployment> implements PeerNetwork {
     private static final Logger LOG = Logger.getLogger(Peers.class);
 
-    /** Peers that a starting instance asks; with the platform unreachable this many cannot all be behind for long. */
-    private static final int MAX_ASKED = 64;
+    /**
+     * Maximum number of listed peers that a starting instance asks for their configuration version. Even without the
+     * platform, this many peers cannot all be out of date for long.
+     */
+    private static final int MAX_QUERIED_PEERS = 64;
 
-    /** Collects changes that arrive together into one frame. */
+    /** How long changes are collected before they are sent in one frame. */
     private static final Duration FLUSH_DELAY = Duration.ofMillis(10);
 
-    /** Collects changes of loads in a fleet where each instance has a link to each other. */
+    /** How long changes of loads are collected in a fully meshed fleet. */
     private static final Duration LOAD_DELAY = Duration.ofMillis(5);
 
     /**
-     * In a larger fleet loads and members change the more often the more members there are; this delay for each of them
-     * keeps the frames of an instance to a constant number a second.
+     * Loads and members change more often the larger the fleet is. In a larger fleet changes are collected for this
+     * long per member, which keeps the number of frames that an instance sends per second constant.
      */
-    private static final Duration DELAY_OF_MEMBER = Duration.ofMillis(4);
+    private static final Duration DELAY_PER_MEMBER = Duration.ofMillis(4);
 
-    private static final CompletableFuture<Void> NOTHING_TO_TELL = CompletableFuture.completedFuture(null);
+    private static final CompletableFuture<Void> COMPLETED = CompletableFuture.completedFuture(null);
 
     private final PeerOptions options;
     private final Run self;
@@ -74,19 +77,21 @@
     private final PeerHandler handler;
     private final Membership membership;
     private final Links links;
-    private final GossipExchange exchange;
-    private final ConfigSpreader<D> spreader;
+    private final GossipExchange gossipExchange;
+    private final ConfigPropagator<D> propagator;
     private final Forwarder forwarder;
     private final Optional<PlatformReader> platform;
     private final List<Subscription> subscriptions = new ArrayList<>();
-    private final AtomicBoolean flushPlanned = new AtomicBoolean();
-    private final AtomicBoolean targetsPlanned = new AtomicBoolean();
-    private final AtomicBoolean loadsPlanned = new AtomicBoolean();
+    private final AtomicBoolean changesFlushScheduled = new AtomicBoolean();
+    private final AtomicBoolean targetsFlushScheduled = new AtomicBoolean();
+    private final AtomicBoolean loadsFlushScheduled = new AtomicBoolean();
     private final AtomicBoolean ownLoadsChanged = new AtomicBoolean();
-    private volatile boolean asked;
+    private volatile boolean startupQueryDone;
 
-    /** Done for each peer that has told its configuration version, over any link; used until all are asked. */
-    private final Map<Address, CompletableFuture<Void>> told = new ConcurrentHashMap<>();
+    /**
+     * Completed when the peer at an address has reported its configuration version on any link; used at startup only.
+     */
+    private final Map<Address, CompletableFuture<Void>> versionReports = new ConcurrentHashMap<>();
 
     private long nextRound;
 
@@ -104,7 +109,7 @@
         this.handler = handler;
         nextRound = timers.nanos();
         self = new Run(options.instance(), Incarnation.startedAt(timers.epochMillis()));
-        var own = new MemberRow(
+        var own = new MemberRecord(
                 self,
                 options.advertised().orElseGet(() -> new Address(options.host(), server.actualPort())),
                 options.failureDomain(),
@@ -115,25 +120,26 @@
                 Optional.empty());
         membership = new Membership(own, options.timings(), timers);
         links = new Links(options, self, membership, timers, dialer, server, new FrameListener());
-        exchange = new GossipExchange(options.timings(), membership, timers, config, handler);
-        spreader = new ConfigSpreader<>(options, timers, config, reader, document -> {
+        gossipExchange = new GossipExchange(options.timings(), membership, timers, config, handler);
+        propagator = new ConfigPropagator<>(options, timers, config, reader, document -> {
             membership.setConfigVersion(document.deployment().version());
-            flushSoon();
+            scheduleFlush();
         });
         forwarder = new Forwarder(self, membership, links, timers, handler);
         platform = options.platform()
-                .map(address -> new PlatformReader(options, new PlatformClient(vertx, address), spreader, membership));
+                .map(address ->
+                        new PlatformReader(options, new PlatformClient(vertx, address), propagator, membership));
     }
 
     /**
      * Listens for peers, connects to the known ones and asks them and the platform for the configuration.
      *
-     * @param options what the instance knows of itself
+     * @param options identity, addresses and timings of this instance
      * @param vertx runs the connections
      * @param timers the process's timer service
-     * @param config where accepted documents are put in force
+     * @param config holder in which accepted documents are put in force
      * @param reader reads the documents that the platform and the peers offer
-     * @param handler what the entry process supplies and receives
+     * @param handler supplies the state of the entry process and receives that of its peers
      * @param <D> the kind of deployment document
      * @return the running network; fails with a {@link StepException} at step {@code CONNECT} if the port is taken
      */
@@ -160,7 +166,7 @@
         var result = new CompletableFuture<Peers<D>>();
         var peers = new CompletableFuture<Peers<D>>();
         NetServer server = vertx.createNetServer(PeerTls.server(options));
-        // Connections that come before the object is complete are accepted as soon as it is.
+        // Connections that arrive before the object is complete are closed; the peer dials again.
         server.connectHandler(socket -> {
             if (peers.isDone()) {
                 peers.join().links.accept(socket);
@@ -188,82 +194,87 @@
 
     private void run() {
         LOG.infof("peer: %s (run %s) listens on %s", self.instance(), self.incarnation(), address());
-        subscriptions.add(timers.onPause(lost -> links.forgiveSilence()));
+        subscriptions.add(timers.onPause(lost -> links.restartSilenceTimeouts()));
         subscriptions.add(timers.every(options.timings().gossip(), tick -> tick()));
-        platform.ifPresent(p -> p.listen(list -> links.hint(list.stream()
+        platform.ifPresent(p -> p.addListener(list -> links.setHints(list.stream()
                 .filter(i -> i.role() == PlatformInstance.Role.ENTRY)
                 .flatMap(i -> i.peerAddress().stream())
                 .toList())));
-        Thread.ofVirtual().name("start-" + self.instance()).start(this::askAll);
+        Thread.ofVirtual().name("start-" + self.instance()).start(this::querySources);
     }
 
-    /** The start rule: ready only after the platform and the known peers were asked, each for a bounded time. */
-    private void askAll() {
-        long bound = options.timings().startAsk().toNanos();
-        var list = CompletableFuture.runAsync(
-                () -> platform.ifPresent(p -> uninterrupted(p::readInstancesOnce)), Peers::virtually);
-        var seeds = options.seeds().stream().map(this::ask);
-        var first = CompletableFuture.allOf(java.util.stream.Stream.concat(
+    /**
+     * Asks the platform and the known peers for the configuration, each for a bounded time. The instance is ready only
+     * after that.
+     */
+    private void querySources() {
+        long boundNanos = options.timings().startupQueryTimeout().toNanos();
+        var listRead = CompletableFuture.runAsync(
+                () -> platform.ifPresent(p -> runInterruptibly(p::readInstancesOnce)), Peers::startVirtualThread);
+        var seeds = options.seeds().stream().map(this::query);
+        var firstQueries = CompletableFuture.allOf(java.util.stream.Stream.concat(
                         seeds,
                         java.util.stream.Stream.of(
-                                list,
+                                listRead,
                                 CompletableFuture.runAsync(
-                                        () -> platform.ifPresent(p -> uninterrupted(p::readConfigOnce)),
-                                        Peers::virtually)))
+                                        () -> platform.ifPresent(p -> runInterruptibly(p::readConfigOnce)),
+                                        Peers::startVirtualThread)))
                 .toArray(CompletableFuture[]::new));
-        await(first, bound);
-        List<Address> listed = links.known();
+        await(firstQueries, boundNanos);
+        List<Address> listed = links.knownAddresses();
         listed.removeAll(options.seeds());
         Collections.shuffle(listed, new java.util.Random(options.seed()));
         await(
-                CompletableFuture.allOf(
-                        listed.stream().limit(MAX_ASKED).map(this::ask).toArray(CompletableFuture[]::new)),
-                bound);
-        long until = timers.nanos() + bound;
-        while (spreader.isFetching() && timers.nanos() - until < 0) {
-            uninterrupted(() -> TimeUnit.MILLISECONDS.sleep(FLUSH_DELAY.toMillis()));
+                CompletableFuture.allOf(listed.stream()
+                        .limit(MAX_QUERIED_PEERS)
+                        .map(this::query)
+                        .toArray(CompletableFuture[]::new)),
+                boundNanos);
+        long until = timers.nanos() + boundNanos;
+        while (propagator.isFetching() && timers.nanos() - until < 0) {
+            runInterruptibly(() -> TimeUnit.MILLISECONDS.sleep(FLUSH_DELAY.toMillis()));
         }
-        spreader.start();
-        asked = true;
-        told.clear();
+        propagator.start();
+        startupQueryDone = true;
+        versionReports.clear();
         platform.ifPresent(PlatformReader::start);
     }
 
-    /** Replaces the addresses that are tried when no peer is known. */
+    /** Replaces the seed addresses. Each is dialled as long as no known member listens on it. */
     public void seeds(List<Address> addresses) {
-        links.seeds(addresses);
+        links.setSeeds(addresses);
     }
 
-    /** Completes when the peer at an address has told its configuration version or cannot be reached. */
-    private CompletableFuture<Void> ask(Address address) {
-        CompletableFuture<Void> answer = toldBy(address);
+    /** Completes when the peer at an address has reported its configuration version or cannot be reached. */
+    private CompletableFuture<Void> query(Address address) {
+        CompletableFuture<Void> report = versionReport(address);
         links.dial(address, false)
-                .thenCompose(link -> self.equals(link.peer()) ? NOTHING_TO_TELL : link.firstGossip)
+                .thenCompose(link -> self.equals(link.peer()) ? COMPLETED : link.firstGossip)
                 .whenComplete((v, e) -> {
-                    // A peer that was reached may have closed the link because it keeps another one to this instance;
-                    // it tells its version there.
+                    // A peer that was reached may have closed this link because it keeps another one to this instance;
+                    // it reports its version on that one.
                     if (e == null || Links.isUnreachable(e)) {
-                        answer.complete(null);
+                        report.complete(null);
                     }
                 });
-        return answer;
+        return report;
     }
 
-    private CompletableFuture<Void> toldBy(Address address) {
-        return told.computeIfAbsent(address, a -> new CompletableFuture<>());
+    private CompletableFuture<Void> versionReport(Address address) {
+        return versionReports.computeIfAbsent(address, a -> new CompletableFuture<>());
     }
 
     private static void await(CompletableFuture<Void> future, long nanos) {
         try {
             future.get(nanos, TimeUnit.NANOSECONDS);
         } catch (ExecutionException | TimeoutException e) {
-            LOG.debug("config: not all answered in time");
+            LOG.debug("config: the platform or a peer did not respond in time");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private static void virtually(Runnable task) {
+    private static void startVirtualThread(Runnable task) {
         Thread.ofVirtual().start(task);
     }
 
@@ -272,7 +283,7 @@
         void run() throws InterruptedException;
     }
 
-    private static void uninterrupted(Interruptible task) {
+    private static void runInterruptibly(Interruptible task) {
         try {
             task.run();
         } catch (InterruptedException e) {
@@ -285,64 +296,67 @@
         if (now - nextRound < 0) {
             return;
         }
-        // Half a gossip period less, so that a tick that comes a little early does not skip a turn.
+        // Half a gossip period less, so that a slightly early tick does not skip a round.
         nextRound = now
-                + options.timings().framePeriod(membership.fleet()).toNanos()
+                + options.timings().framePeriod(membership.fleetSize()).toNanos()
                 - options.timings().gossip().toNanos() / 2;
-        membership.tick().forEach(exchange::forget);
-        exchange.tick();
+        membership.tick().forEach(gossipExchange::forget);
+        gossipExchange.tick();
         links.tick();
-        exchange.sendRound(links.all(), false);
+        gossipExchange.sendRound(links.all(), false);
     }
 
     private boolean isMesh() {
-        return membership.fleet() <= Links.FULL_MESH_MEMBERS;
+        return membership.fleetSize() <= Links.FULL_MESH_MEMBERS;
     }
 
-    private Duration delayOfLargeFleet() {
-        return DELAY_OF_MEMBER.multipliedBy(membership.fleet());
+    private Duration largeFleetDelay() {
+        return DELAY_PER_MEMBER.multipliedBy(membership.fleetSize());
     }
 
-    private void flushSoon() {
-        flushAfter(isMesh() ? FLUSH_DELAY : delayOfLargeFleet(), flushPlanned, exchange::sendChanges);
+    private void scheduleFlush() {
+        scheduleFlushAfter(
+                isMesh() ? FLUSH_DELAY : largeFleetDelay(), changesFlushScheduled, gossipExchange::sendChanges);
     }
 
-    private void flushTargets() {
-        flushAfter(FLUSH_DELAY, targetsPlanned, exchange::sendLoads);
+    private void scheduleTargetsFlush() {
+        scheduleFlushAfter(FLUSH_DELAY, targetsFlushScheduled, gossipExchange::sendLoadsAndTargets);
     }
 
-    private void flushLoads() {
-        flushAfter(isMesh() ? LOAD_DELAY : delayOfLargeFleet(), loadsPlanned, all -> {
+    private void scheduleLoadsFlush() {
+        scheduleFlushAfter(isMesh() ? LOAD_DELAY : largeFleetDelay(), loadsFlushScheduled, all -> {
             if (ownLoadsChanged.compareAndSet(true, false)) {
-                exchange.stateLoads();
+                gossipExchange.refreshLoads();
             }
-            exchange.sendLoads(all);
+            gossipExchange.sendLoadsAndTargets(all);
         });
     }
 
-    private void flushAfter(Duration delay, AtomicBoolean planned, Consumer<Collection<Link>> send) {
-        if (planned.compareAndSet(false, true)) {
+    private void scheduleFlushAfter(Duration delay, AtomicBoolean scheduled, Consumer<Collection<Link>> send) {
+        if (scheduled.compareAndSet(false, true)) {
             timers.after(delay, () -> {
-                planned.set(false);
+                scheduled.set(false);
                 send.accept(links.all());
             });
         }
     }
 
-    /** Tells the peers soon that the loads of this instance have changed. */
+    /** Schedules an update to the peers after the loads of this instance have changed. */
     public void loadsChanged() {
         ownLoadsChanged.set(true);
-        flushLoads();
+        scheduleLoadsFlush();
     }
 
-    /** Takes the published entries that this instance has read and tells the peers at once of what is new. */
-    public void publish(List<PublishedTarget> entries) {
-        if (exchange.publish(entries)) {
-            flushTargets();
+    /**
+     * Stores the published targets that this instance has read and sends the changed ones to the peers shortly after.
+     */
+    public void publish(List<PublishedTarget> targets) {
+        if (gossipExchange.publish(targets)) {
+            scheduleTargetsFlush();
         }
     }
 
-    /** Gives frames to the parts that handle them. */
+    /** Dispatches received frames to the components that handle them. */
     private final class FrameListener implements Link.Listener {
         @Override
         public void onFrame(Link link, PeerFrame frame) throws BadFrameException {
@@ -359,9 +373,9 @@
             }
             switch (frame.getSetField()) {
                 case GOSSIP -> onGossip(link, frame.getGossip());
-                case CONFIG_REQUEST -> spreader.onRequest(link, frame.getConfigRequest());
-                case CONFIG_DOCUMENT -> spreader.onDocument(link, frame.getConfigDocument());
-                case CONFIG_DELTA -> spreader.onDelta(link, frame.getConfigDelta());
+                case CONFIG_REQUEST -> propagator.onRequest(link, frame.getConfigRequest());
+                case CONFIG_DOCUMENT -> propagator.onDocument(link, frame.getConfigDocument());
+                case CONFIG_DELTA -> propagator.onDelta(link, frame.getConfigDelta());
                 case FORWARD_CALL -> forwarder.onCall(link, frame.getForwardCall());
                 case FORWARD_RESULT -> forwarder.onResult(link, frame.getForwardResult());
                 case KEY_TRANSFER -> forwarder.onTransfer(link, frame.getKeyTransfer());
@@ -371,23 +385,23 @@
         }
 
         private void onGossip(Link link, Gossip gossip) {
-            GossipExchange.News news = exchange.receive(link, gossip);
-            if (news.members()) {
-                flushSoon();
+            GossipExchange.Updates updates = gossipExchange.receive(link, gossip);
+            if (updates.members()) {
+                scheduleFlush();
             }
-            if (news.targets()) {
-                flushTargets();
+            if (updates.targets()) {
+                scheduleTargetsFlush();
             }
-            if (news.loads() && !isMesh()) {
-                // In a mesh what others state has reached all members already.
-                flushLoads();
+            if (updates.loads() && !isMesh()) {
+                // In a full mesh every member receives the reports of the others directly.
+                scheduleLoadsFlush();
             }
-            spreader.onPeerVersion(link, gossip.getConfigVersion(), gossip.getConfigDigest());
+            propagator.onPeerVersion(link, gossip.getConfigVersion(), gossip.getConfigDigest());
             link.firstGossip.complete(null);
-            if (!asked) {
+            if (!startupQueryDone) {
                 membership
-                        .current(link.peer().instance())
-                        .ifPresent(row -> toldBy(row.address()).complete(null));
+                        .latestRun(link.peer().instance())
+                        .ifPresent(member -> versionReport(member.address()).complete(null));
             }
         }
 
@@ -398,56 +412,56 @@
         }
     }
 
-    /** Returns where this instance listens for peers. */
+    /** Returns the address at which peers connect to this instance. */
     public Address address() {
-        return membership.own().address();
+        return membership.ownRecord().address();
     }
 
     /**
-     * Returns why this instance must not be ready yet, or empty if nothing here stands against it: the platform and
-     * the known peers were asked and a valid document is in force.
+     * Returns the reason why this instance is not ready yet. Empty once the platform and the known peers have been
+     * asked and there is a valid document.
      */
     public Optional<String> notReadyReason() {
-        if (!asked) {
+        if (!startupQueryDone) {
             return Optional.of("configuration: the platform and the known peers are still being asked");
         }
-        if (spreader.version() == 0) {
-            return Optional.of("configuration: no valid document; " + spreader.lastFault());
+        if (propagator.version() == 0) {
+            return Optional.of("configuration: no valid document; " + propagator.lastFault());
         }
         return Optional.empty();
     }
 
     /**
-     * Returns whether the member table may be out of date after a start or a pause. While it is, no member is declared
-     * gone because of old silence and no orders are sent.
+     * Returns whether the member table may be out of date after a start or a pause of this process. While it is, no
+     * member is considered gone because of heartbeats missed before, and no orders are sent.
      */
     public boolean isStale() {
         return membership.isStale();
     }
 
-    /** Calls the listener with each deployment that is put in force, and at once with the present one. */
+    /** Calls the listener with each deployment that is put in force, and immediately with the current one, if any. */
     public void onConfig(Consumer<D> listener) {
-        spreader.listen(listener);
+        propagator.addListener(listener);
     }
 
     /**
-     * Offers a document that came from another source than a peer; it is put in force if it is valid and higher than
-     * the present one.
+     * Offers a document from a source other than a peer; it is put in force if it is valid and higher than the current
+     * one.
      *
-     * @param source where it came from, for messages
+     * @param source name of the source, for messages
      * @param body the document as published
      * @return whether it is valid
      */
     public boolean offerConfig(String source, byte[] body) {
-        return spreader.offer(source, body);
+        return propagator.offer(source, body);
     }
 
-    /** Calls the listener with each instance list that the platform returns; it lags and may be incomplete. */
+    /** Calls the listener with each instance list that the platform returns; it may be out of date or incomplete. */
     public void onInstances(Consumer<List<PlatformInstance>> listener) {
-        platform.ifPresent(p -> p.listen(listener));
+        platform.ifPresent(p -> p.addListener(listener));
     }
 
-    /** Returns counters of this instance's control traffic. */
+    /** Returns the counters of this instance's control traffic. */
     public PeerStats stats() {
         return new PeerStats(
                 links.traffic().sent().get(),
@@ -455,10 +469,10 @@
                 links.traffic().config().get(),
                 links.all().size(),
                 platform.map(PlatformReader::reads).orElse(0L),
-                spreader.fetches(),
-                spreader.deltas(),
-                spreader.conflicts(),
-                spreader.rejections());
+                propagator.fetches(),
+                propagator.deltas(),
+                propagator.conflicts(),
+                propagator.rejections());
     }
 
     @Override
@@ -491,12 +505,12 @@
     public void announceKeySuccessor(InstanceId successor) {
         Optional<Run> run = forwarder
                 .transferredTo(successor)
-                .or(() -> membership.current(successor).map(MemberRow::run));
+                .or(() -> membership.latestRun(successor).map(MemberRecord::run));
         if (run.isEmpty()) {
             throw new IllegalArgumentException("key successor is not a known member: " + successor);
         }
-        membership.setOwn(MemberState.LEAVING, run);
-        flushSoon();
+        membership.setOwnState(MemberState.LEAVING, run);
+        scheduleFlush();
     }
 
     @Override
@@ -506,23 +520,23 @@
 
     @Override
     public void leave() {
-        membership.setOwn(MemberState.LEAVING, Optional.empty());
-        flushSoon();
+        membership.setOwnState(MemberState.LEAVING, Optional.empty());
+        scheduleFlush();
     }
 
     @Override
     public void push() {
-        exchange.sendRound(links.all(), true);
+        gossipExchange.sendRound(links.all(), true);
     }
 
     @Override
     public CompletableFuture<Void> close() {
-        membership.setOwn(MemberState.LEFT, Optional.empty());
-        exchange.sendChanges(links.all());
+        membership.setOwnState(MemberState.LEFT, Optional.empty());
+        gossipExchange.sendChanges(links.all());
         return abort();
     }
 
-    /** Ends without telling the peers, as a killed process does. */
+    /** Closes all links without notifying the peers, as when the process is killed. */
     CompletableFuture<Void> abort() {
         subscriptions.forEach(Subscription::cancel);
         platform.ifPresent(PlatformReader::close);
--- a/core/src/main/java/org/verbenatally/peer/PlatformReader.java
+++ b/core/src/main/java/org/verbenatally/peer/PlatformReader.java
@@ -28,7 +28,7 @@
     private final InstanceId self;
     private final PeerTimings timings;
     private final PlatformClient client;
-    private final ConfigSpreader<?> spreader;
+    private final ConfigPropagator<?> propagator;
     private final Membership membership;
     private final UniformRandomProvider random;
     private final List<Consumer<List<PlatformInstance>>> listeners = new CopyOnWriteArrayList<>();
@@ -37,17 +37,17 @@
     private volatile Thread configTask;
     private volatile Thread listTask;
 
-    PlatformReader(PeerOptions options, PlatformClient client, ConfigSpreader<?> spreader, Membership membership) {
+    PlatformReader(PeerOptions options, PlatformClient client, ConfigPropagator<?> propagator, Membership membership) {
         self = options.instance();
         timings = options.timings();
         this.client = client;
-        this.spreader = spreader;
+        this.propagator = propagator;
         this.membership = membership;
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(
                 options.seed() + options.instance().hashCode());
     }
 
-    void listen(Consumer<List<PlatformInstance>> listener) {
+    void addListener(Consumer<List<PlatformInstance>> listener) {
         listeners.add(listener);
     }
 
@@ -73,13 +73,13 @@
                     backoff = timings.gossip().toNanos();
                     awaitTurn();
                 }
-                long before = spreader.version();
+                long before = propagator.version();
                 long start = System.nanoTime();
                 Duration wait = isReader() ? timings.longPoll() : Duration.ZERO;
                 reads.incrementAndGet();
-                boolean read = spreader.read(client, wait);
+                boolean read = propagator.read(client, wait);
                 boolean waited = System.nanoTime() - start > wait.toNanos() / 2 && wait.isPositive();
-                if (read && (waited || spreader.version() > before)) {
+                if (read && (waited || propagator.version() > before)) {
                     backoff = timings.gossip().toNanos();
                 } else if (isReader()) {
                     // Down, or it answers at once with an old or invalid document: reads must not spin.
@@ -120,7 +120,7 @@
     /** Reads the configuration once, without a wait. */
     void readConfigOnce() throws InterruptedException {
         reads.incrementAndGet();
-        spreader.read(client, Duration.ZERO);
+        propagator.read(client, Duration.ZERO);
     }
 
     /** Reads the instance list once; failures are left to the next read. */
--- a/core/src/main/java/org/verbenatally/peer/PublishedTable.java
+++ b/core/src/main/java/org/verbenatally/peer/PublishedTable.java
@@ -11,29 +11,32 @@
 import org.verbenatally.wire.TargetEntry;
 
 /**
- * The published entries of targets that instances pass on to each other; of two the one with the higher revision
- * counts. Safe for use by several threads.
+ * The published targets, which instances replicate to each other; the highest revision of each target wins.
+ * Thread-safe.
  */
 final class PublishedTable {
-    private final TimerService timer;
-    private final Duration memory;
-    private final NewestRows<String, PublishedTarget> rows =
-            new NewestRows<>(Comparator.comparingLong(PublishedTarget::getRevision), PublishedTable::saysSame);
-    private final Map<String, Long> withdrawn = new HashMap<>();
+    private final TimerService timers;
+    private final Duration retention;
+    private final ReplicatedTable<String, PublishedTarget> targets = new ReplicatedTable<>(
+            Comparator.comparingLong(PublishedTarget::getRevision), PublishedTable::isSameContent);
+    private final Map<String, Long> unpublishedAt = new HashMap<>();
 
     /**
      * Creates an empty table.
      *
-     * @param timer clock
-     * @param memory how long it is remembered that a target is no longer published
+     * @param timers the clock
+     * @param retention how long the removal of a target from the published list is remembered
      */
-    PublishedTable(TimerService timer, Duration memory) {
-        this.timer = Objects.requireNonNull(timer, "timer");
-        this.memory = Objects.requireNonNull(memory, "memory");
+    PublishedTable(TimerService timers, Duration retention) {
+        this.timers = Objects.requireNonNull(timers, "timers");
+        this.retention = Objects.requireNonNull(retention, "retention");
     }
 
-    /** Heartbeats change the revision alone. How long a target is still slow is told only when that is over. */
-    private static boolean saysSame(PublishedTarget a, PublishedTarget b) {
+    /**
+     * Returns whether two published targets differ only in their revision, which changes with each heartbeat, or in the
+     * remaining time of a slow start, whose end alone counts as a change.
+     */
+    private static boolean isSameContent(PublishedTarget a, PublishedTarget b) {
         TargetEntry before = a.getEntry();
         TargetEntry after = b.getEntry();
         if (before == null || after == null) {
@@ -42,45 +45,45 @@
         if (before.getColdMs() == after.getColdMs()) {
             return before.equals(after);
         }
-        boolean samePace = before.getColdMs() > 0 == after.getColdMs() > 0;
-        return samePace && new TargetEntry(before).setColdMs(0).equals(new TargetEntry(after).setColdMs(0));
+        boolean sameColdState = before.getColdMs() > 0 == after.getColdMs() > 0;
+        return sameColdState && new TargetEntry(before).setColdMs(0).equals(new TargetEntry(after).setColdMs(0));
     }
 
     /**
-     * Stores an entry unless the present one is as new.
+     * Stores a published target if it is newer than the current one.
      *
-     * @param via the link that it came by, or {@link NewestRows#LOCAL}
-     * @return whether it says something new
+     * @param sourceLink the link it arrived on, or {@link ReplicatedTable#LOCAL}
+     * @return whether it changed
      */
-    synchronized boolean put(PublishedTarget entry, int via) {
-        boolean news = rows.put(entry.getTarget(), entry, via);
-        if (news && entry.getEntry() == null) {
-            withdrawn.put(entry.getTarget(), timer.nanos());
-        } else if (news) {
-            withdrawn.remove(entry.getTarget());
+    synchronized boolean put(PublishedTarget target, int sourceLink) {
+        boolean changed = targets.put(target.getTarget(), target, sourceLink);
+        if (changed && target.getEntry() == null) {
+            unpublishedAt.put(target.getTarget(), timers.nanos());
+        } else if (changed) {
+            unpublishedAt.remove(target.getTarget());
         }
-        return news;
+        return changed;
     }
 
-    /** Returns what a link has not been sent yet; see {@link NewestRows#changes}. */
-    NewestRows.Batch<PublishedTarget> changes(long since, int link, int most) {
-        return rows.changes(since, link, most);
+    /** Returns the targets that have not been sent on a link yet; see {@link ReplicatedTable#changes}. */
+    ReplicatedTable.Batch<PublishedTarget> changes(long since, int link, int maxTargets) {
+        return targets.changes(since, link, maxTargets);
     }
 
-    /** Returns whether a link has not been sent all that it lacks. */
+    /** Returns whether there are changes that have not been sent on a link yet. */
     boolean hasChanges(long since, int link) {
-        return rows.hasChanges(since, link);
+        return targets.hasChanges(since, link);
     }
 
-    /** Forgets targets that have not been published for long. */
+    /** Forgets targets that were removed from the published list longer ago than the retention time. */
     synchronized void tick() {
-        long now = timer.nanos();
-        withdrawn.entrySet().removeIf(entry -> {
-            boolean old = now - entry.getValue() > memory.toNanos();
-            if (old) {
-                rows.remove(entry.getKey());
+        long now = timers.nanos();
+        unpublishedAt.entrySet().removeIf(unpublished -> {
+            boolean expired = now - unpublished.getValue() > retention.toNanos();
+            if (expired) {
+                targets.remove(unpublished.getKey());
             }
-            return old;
+            return expired;
         });
     }
 }
--- a/core/src/test/java/org/verbenatally/peer/FaultTest.java
+++ b/core/src/test/java/org/verbenatally/peer/FaultTest.java
@@ -163,7 +163,7 @@
             peer.onConnection(asked -> peer.dial(node.peers.address()).thenAccept(own -> {
                 asked.close();
                 // Well within the time that a starting instance waits for each peer.
-                fleet.timers.after(fleet.timings.startAsk().dividedBy(3), own::tellVersion);
+                fleet.timers.after(fleet.timings.startupQueryTimeout().dividedBy(3), own::tellVersion);
             }));
             Fleet.await(() -> node.peers.notReadyReason().isEmpty());
             assertThat(node.versions).containsExactly(7L);
--- a/core/src/test/java/org/verbenatally/peer/Fleet.java
+++ b/core/src/test/java/org/verbenatally/peer/Fleet.java
@@ -141,7 +141,7 @@
         var options = new PeerOptions(
                 new InstanceId(id),
                 new FailureDomain("Bole"),
-                MemberRow.DEFAULT_REGION,
+                MemberRecord.DEFAULT_REGION,
                 DEPLOYMENT,
                 "127.0.0.1",
                 0,
--- a/core/src/test/java/org/verbenatally/peer/MembershipTest.java
+++ b/core/src/test/java/org/verbenatally/peer/MembershipTest.java
@@ -24,7 +24,7 @@
 import org.verbenatally.core.Incarnation;
 import org.verbenatally.core.InstanceId;
 import org.verbenatally.peer.MemberInfo.Status;
-import org.verbenatally.peer.MemberRow.Run;
+import org.verbenatally.peer.MemberRecord.Run;
 import org.verbenatally.time.PausableTimers;
 import org.verbenatally.wire.MemberState;
 
@@ -43,13 +43,13 @@
         return new Run(new InstanceId(id), new Incarnation(incarnation));
     }
 
-    private static MemberRow row(Run run, MemberState state, long heartbeat, Optional<Run> successor) {
+    private static MemberRecord row(Run run, MemberState state, long heartbeat, Optional<Run> successor) {
         var domain = new FailureDomain("Bole");
-        return new MemberRow(
+        return new MemberRecord(
                 run, new Address("127.0.0.1", 1), domain, "default", state, heartbeat, ConfigVersion.NONE, successor);
     }
 
-    private static MemberRow live(String id, long incarnation, long heartbeat) {
+    private static MemberRecord live(String id, long incarnation, long heartbeat) {
         return row(run(id, incarnation), MemberState.LIVE, heartbeat, Optional.empty());
     }
 
@@ -57,12 +57,12 @@
         return new Membership(live("self", 1, 1), PeerTimings.standard(), timers);
     }
 
-    private static List<MemberRow> content(Membership table) {
-        return table.changes(0, 0, 0, Membership.LOCAL - 1).rows();
+    private static List<MemberRecord> content(Membership table) {
+        return table.changes(0, 0, 0, Membership.LOCAL - 1).records();
     }
 
     @Provide
-    Arbitrary<List<MemberRow>> rows() {
+    Arbitrary<List<MemberRecord>> rows() {
         Arbitrary<Run> runs = Combinators.combine(
                         Arbitraries.of("a", "b", "c"), Arbitraries.longs().between(1, 3))
                 .as(MembershipTest::run);
@@ -78,10 +78,10 @@
 
     /** Guards against members that keep different tables because gossip reached them in another order or twice. */
     @Property(seed = "11", tries = 300)
-    void mergeIsCommutativeAndIdempotent(@ForAll("rows") List<MemberRow> rows, @ForAll long seed) {
+    void mergeIsCommutativeAndIdempotent(@ForAll("rows") List<MemberRecord> rows, @ForAll long seed) {
         Membership first = table();
         rows.forEach(r -> first.merge(List.of(r), 1));
-        List<MemberRow> shuffled = new ArrayList<>(rows);
+        List<MemberRecord> shuffled = new ArrayList<>(rows);
         shuffled.addAll(rows);
         Collections.shuffle(shuffled, new Random(seed));
         Membership second = table();
@@ -93,13 +93,13 @@
 
     /** Guards against an old frame that brings a dead run back or makes a live member look silent. */
     @Property(seed = "12", tries = 300)
-    void mergeNeverLowersIncarnationOrHeartbeat(@ForAll("rows") List<MemberRow> rows) {
+    void mergeNeverLowersIncarnationOrHeartbeat(@ForAll("rows") List<MemberRecord> rows) {
         Membership table = table();
-        Map<InstanceId, MemberRow> before = new HashMap<>();
-        for (MemberRow r : rows) {
+        Map<InstanceId, MemberRecord> before = new HashMap<>();
+        for (MemberRecord r : rows) {
             table.merge(List.of(r), 1);
-            MemberRow now = table.current(r.run().instance()).orElseThrow();
-            MemberRow old = before.put(now.run().instance(), now);
+            MemberRecord now = table.latestRun(r.run().instance()).orElseThrow();
+            MemberRecord old = before.put(now.run().instance(), now);
             if (old != null) {
                 assertThat(now.run().incarnation())
                         .isGreaterThanOrEqualTo(old.run().incarnation());
@@ -123,7 +123,7 @@
         timers.advance(Duration.ofMinutes(10));
         table.tick();
         table.merge(List.of(live("a", 1, 5)), 2);
-        assertThat(table.current(new InstanceId("a"))).isEmpty();
+        assertThat(table.latestRun(new InstanceId("a"))).isEmpty();
         table.merge(List.of(live("a", 1, 6)), 2);
         assertThat(status(table, "a")).isEqualTo(Status.LIVE);
     }
@@ -158,8 +158,8 @@
                         live("a", 2, 1),
                         live("b", 2, 1)),
                 1);
-        assertThat(table.keyOwner(run("a", 1)).map(MemberRow::run)).contains(run("c", 1));
-        assertThat(table.keyOwner(run("a", 2)).map(MemberRow::run)).contains(run("a", 2));
+        assertThat(table.keyOwner(run("a", 1)).map(MemberRecord::run)).contains(run("c", 1));
+        assertThat(table.keyOwner(run("a", 2)).map(MemberRecord::run)).contains(run("a", 2));
         assertThat(table.keyOwner(run("a", 3))).isEmpty();
         timers.advance(Duration.ofMinutes(29));
         table.merge(List.of(live("c", 1, 2)), 1);
@@ -176,11 +176,11 @@
     void unknownBeatIsAskedForOnce() {
         Membership table = table();
         Membership other = new Membership(live("other", 1, 1), PeerTimings.standard(), timers);
-        var beats = other.changes(other.serial(), 0, 0, 9).beats();
-        var wanted = table.apply(beats, 0, 1);
+        var beats = other.changes(other.serial(), 0, 0, 9).heartbeats();
+        var wanted = table.applyHeartbeats(beats, 0, 1);
         assertThat(wanted).hasSize(1);
-        assertThat(table.apply(beats, 0, 2)).isEmpty();
-        table.merge(other.rows(wanted), 1);
+        assertThat(table.applyHeartbeats(beats, 0, 2)).isEmpty();
+        table.merge(other.recordsFor(wanted), 1);
         assertThat(status(table, "other")).isEqualTo(Status.LIVE);
     }
 
@@ -189,11 +189,12 @@
     void suspectTimeoutIsAtLeastSixBeatPeriods() {
         var t = PeerTimings.standard();
         for (int n : new int[] {1, 8, 64, 65, 128, 330, 1_000}) {
-            assertThat(t.suspectAfter(n)).isGreaterThanOrEqualTo(t.beatPeriod(n).multipliedBy(6));
-            assertThat(t.goneAfter(n)).isGreaterThan(t.suspectAfter(n));
+            assertThat(t.suspectTimeout(n))
+                    .isGreaterThanOrEqualTo(t.heartbeatPeriod(n).multipliedBy(6));
+            assertThat(t.goneTimeout(n)).isGreaterThan(t.suspectTimeout(n));
         }
-        assertThat(t.suspectAfter(8)).isEqualTo(Duration.ofSeconds(3));
-        assertThat(t.goneAfter(8)).isEqualTo(Duration.ofSeconds(15));
+        assertThat(t.suspectTimeout(8)).isEqualTo(Duration.ofSeconds(3));
+        assertThat(t.goneTimeout(8)).isEqualTo(Duration.ofSeconds(15));
     }
 
     private static Status status(Membership table, String id) {
--- a/core/src/test/java/org/verbenatally/peer/NewestRowsTest.java
+++ b/core/src/test/java/org/verbenatally/peer/ReplicatedTableTest.java
@@ -14,7 +14,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class NewestRowsTest {
+class ReplicatedTableTest {
     /** A value whose text is that of its version, less the last digit; versions of one text say the same. */
     private record Value(String key, long version) {
         boolean saysSame(Value other) {
@@ -22,8 +22,8 @@
         }
     }
 
-    private static NewestRows<String, Value> table() {
-        return new NewestRows<>(Comparator.comparingLong(Value::version), Value::saysSame);
+    private static ReplicatedTable<String, Value> table() {
+        return new ReplicatedTable<>(Comparator.comparingLong(Value::version), Value::saysSame);
     }
 
     /** Guards against tables that stay different, whichever rows are sent first and however small the frames are. */
@@ -33,7 +33,7 @@
             @ForAll @IntRange(min = 1, max = 5) int most,
             @ForAll @IntRange(min = 0, max = 1_000) int seed) {
         Random random = new Random(seed);
-        List<NewestRows<String, Value>> tables = new ArrayList<>();
+        List<ReplicatedTable<String, Value>> tables = new ArrayList<>();
         Map<Integer, Long> sent = new HashMap<>();
         Map<String, Long> newest = new HashMap<>();
         for (int i = 0; i < instances; i++) {
@@ -44,7 +44,7 @@
             if (step < 100) {
                 String key = "k" + random.nextInt(6);
                 long version = newest.merge(key, 1L + random.nextInt(9), Long::sum);
-                tables.get(from).put(key, new Value(key, version), NewestRows.LOCAL);
+                tables.get(from).put(key, new Value(key, version), ReplicatedTable.LOCAL);
             }
             // A ring: link number "to + 1" at the sender, "from + 1" at the receiver.
             send(tables, sent, from, (from + 1) % instances, most);
@@ -56,7 +56,7 @@
                 send(tables, sent, (i + 1) % instances, i, most);
             }
         }
-        for (NewestRows<String, Value> table : tables) {
+        for (ReplicatedTable<String, Value> table : tables) {
             newest.forEach((key, version) -> {
                 Value last = new Value(key, version);
                 assertThat(table.get(key))
@@ -68,7 +68,7 @@
     }
 
     private static void send(
-            List<NewestRows<String, Value>> tables, Map<Integer, Long> sent, int from, int to, int most) {
+            List<ReplicatedTable<String, Value>> tables, Map<Integer, Long> sent, int from, int to, int most) {
         int link = from * 100 + to;
         long since = sent.getOrDefault(link, 0L);
         var batch = tables.get(from).changes(since, to + 1, most);
@@ -100,7 +100,7 @@
         var table = table();
         table.put("a", new Value("a", 20), 5);
         long sent = table.changes(0, 6, 10).serial();
-        assertThat(table.put("a", new Value("a", 25), NewestRows.LOCAL)).isFalse();
+        assertThat(table.put("a", new Value("a", 25), ReplicatedTable.LOCAL)).isFalse();
         assertThat(table.put("a", new Value("a", 21), 5)).isFalse();
         assertThat(table.changes(sent, 6, 10).values()).isEmpty();
         assertThat(table.get("a")).contains(new Value("a", 25));
--- a/core/src/test/java/org/verbenatally/peer/ScriptedPeer.java
+++ b/core/src/test/java/org/verbenatally/peer/ScriptedPeer.java
@@ -76,12 +76,12 @@
 
         /** Sends the row of this peer and the version of its document. */
         void tellVersion() {
-            var run = new MemberRow.Run(new InstanceId(id), new Incarnation(1));
-            var row = new MemberRow(
+            var run = new MemberRecord.Run(new InstanceId(id), new Incarnation(1));
+            var row = new MemberRecord(
                     run,
                     address(),
                     new FailureDomain("Bole"),
-                    MemberRow.DEFAULT_REGION,
+                    MemberRecord.DEFAULT_REGION,
                     MemberState.LIVE,
                     1,
                     new ConfigVersion(version),
