--- a/core/src/main/java/org/verbenatally/peer/ConfigPropagator.java
+++ b/core/src/main/java/org/verbenatally/peer/ConfigPropagator.java
@@ -192,7 +192,7 @@
         BaseDocument base = previous;
         if (base != null && request.isSetBaseDigest() && Arrays.equals(base.digest(), request.getBaseDigest())) {
             List<DeltaPart> parts = DocumentDelta.between(base.body(), d.body());
-            if (DocumentDelta.size(parts) < d.body().length / MIN_DELTA_GAIN) {
+            if (DocumentDelta.estimatedSize(parts) < d.body().length / MIN_DELTA_GAIN) {
                 return PeerFrame.configDelta(
                         new ConfigDelta(version, ByteBuffer.wrap(d.digest()), ByteBuffer.wrap(base.digest()), parts));
             }
--- a/core/src/main/java/org/verbenatally/peer/DocumentDelta.java
+++ b/core/src/main/java/org/verbenatally/peer/DocumentDelta.java
@@ -9,19 +9,19 @@
 import io.vertx.core.buffer.Buffer;
 import org.verbenatally.wire.DeltaPart;
 
-/** The difference between two documents by lines. A published change mostly touches a few of thousands of lines. */
+/** Line-based difference between two documents. A published change usually touches a few of thousands of lines. */
 final class DocumentDelta {
-    /** Costs of one part beside its text, in bytes; an estimate to compare a delta with the whole document. */
-    private static final int PART_BYTES = 12;
+    /** Estimated size of a part without its text, in bytes; used to compare a delta with the complete document. */
+    private static final int PART_OVERHEAD_BYTES = 12;
 
     private DocumentDelta() {}
 
-    /** Returns the parts from which {@link #apply} builds the document. */
+    /** Returns the parts from which {@link #apply} rebuilds the document. */
     static List<DeltaPart> between(byte[] base, byte[] document) {
         List<ByteBuffer> baseLines = lines(base);
-        Map<ByteBuffer, Integer> places = HashMap.newHashMap(baseLines.size());
+        Map<ByteBuffer, Integer> firstPositions = HashMap.newHashMap(baseLines.size());
         for (int i = 0; i < baseLines.size(); i++) {
-            places.putIfAbsent(baseLines.get(i), i);
+            firstPositions.putIfAbsent(baseLines.get(i), i);
         }
         List<DeltaPart> parts = new ArrayList<>();
         Buffer text = Buffer.buffer();
@@ -32,43 +32,45 @@
                 copy.setLines(copy.getLines() + 1);
                 continue;
             }
-            Integer place = places.get(line);
-            if (place == null) {
+            Integer position = firstPositions.get(line);
+            if (position == null) {
                 copy = null;
                 byte[] bytes = new byte[line.remaining()];
                 line.get(bytes);
                 text.appendBytes(bytes);
                 continue;
             }
-            flush(text, parts);
+            appendText(text, parts);
             text = Buffer.buffer();
-            copy = new DeltaPart().setFirstLine(place).setLines(1);
+            copy = new DeltaPart().setFirstLine(position).setLines(1);
             parts.add(copy);
         }
-        flush(text, parts);
+        appendText(text, parts);
         return parts;
     }
 
-    private static void flush(Buffer text, List<DeltaPart> parts) {
+    private static void appendText(Buffer text, List<DeltaPart> parts) {
         if (text.length() > 0) {
             parts.add(new DeltaPart().setText(text.getBytes()));
         }
     }
 
-    /** Returns about how many bytes the parts take in a frame. */
-    static int size(List<DeltaPart> parts) {
+    /** Returns the estimated size of the parts in a frame, in bytes. */
+    static int estimatedSize(List<DeltaPart> parts) {
         return parts.stream()
-                .mapToInt(p -> PART_BYTES + (p.isSetText() ? p.getText().length : 0))
+                .mapToInt(p -> PART_OVERHEAD_BYTES + (p.isSetText() ? p.getText().length : 0))
                 .sum();
     }
 
     /**
-     * Builds the document.
+     * Rebuilds a document from its base and the parts of a delta.
      *
-     * @throws IllegalArgumentException if a part names lines that the base lacks or the result is above the limit
+     * @param limit maximum length of the document in bytes
+     * @throws IllegalArgumentException if a part refers to lines that the base does not have, or if the document is
+     *     longer than the limit
      */
     static byte[] apply(byte[] base, List<DeltaPart> parts, int limit) {
-        int[] starts = starts(base);
+        int[] offsets = lineOffsets(base);
         Buffer document = Buffer.buffer();
         for (DeltaPart p : parts) {
             if (p.isSetText()) {
@@ -76,10 +78,10 @@
             } else {
                 int first = p.getFirstLine();
                 int count = p.getLines();
-                if (first < 0 || count < 1 || first > starts.length - 1 - count) {
-                    throw new IllegalArgumentException("delta names lines that the base document lacks");
+                if (first < 0 || count < 1 || first > offsets.length - 1 - count) {
+                    throw new IllegalArgumentException("delta refers to lines that the base document does not have");
                 }
-                document.appendBytes(base, starts[first], starts[first + count] - starts[first]);
+                document.appendBytes(base, offsets[first], offsets[first + count] - offsets[first]);
             }
             if (document.length() > limit) {
                 throw new IllegalArgumentException("document is longer than " + limit + " bytes");
@@ -88,24 +90,24 @@
         return document.getBytes();
     }
 
-    /** Returns the offset of each line and, at the end, the length. */
-    private static int[] starts(byte[] document) {
-        int[] starts = new int[document.length + 2];
+    /** Returns the byte offset of each line, followed by the length of the document. */
+    private static int[] lineOffsets(byte[] document) {
+        int[] offsets = new int[document.length + 2];
         int n = document.length == 0 ? 0 : 1;
         for (int i = 0; i < document.length; i++) {
             if (document[i] == '\n' && i + 1 < document.length) {
-                starts[n++] = i + 1;
+                offsets[n++] = i + 1;
             }
         }
-        starts[n++] = document.length;
-        return java.util.Arrays.copyOf(starts, n);
+        offsets[n++] = document.length;
+        return java.util.Arrays.copyOf(offsets, n);
     }
 
     private static List<ByteBuffer> lines(byte[] document) {
-        int[] starts = starts(document);
-        List<ByteBuffer> lines = new ArrayList<>(starts.length);
-        for (int i = 0; i + 1 < starts.length; i++) {
-            lines.add(ByteBuffer.wrap(document, starts[i], starts[i + 1] - starts[i])
+        int[] offsets = lineOffsets(document);
+        List<ByteBuffer> lines = new ArrayList<>(offsets.length);
+        for (int i = 0; i + 1 < offsets.length; i++) {
+            lines.add(ByteBuffer.wrap(document, offsets[i], offsets[i + 1] - offsets[i])
                     .slice());
         }
         return lines;
--- a/core/src/main/java/org/verbenatally/peer/FrameCodec.java
+++ b/core/src/main/java/org/verbenatally/peer/FrameCodec.java
@@ -13,9 +13,9 @@
 import org.apache.thrift.transport.TMemoryInputTransport;
 import org.verbenatally.wire.PeerFrame;
 
-/** Turns frames into bytes and back: a 4-byte big-endian length, then the frame in the compact protocol. */
+/** Encodes and decodes frames: a 4-byte big-endian length, then the frame in Thrift's compact protocol. */
 final class FrameCodec {
-    /** Largest frame without its length, in bytes. */
+    /** Maximum size of a frame without its length field, in bytes. */
     static final int MAX_FRAME = 1 << 20;
 
     static final int LENGTH_BYTES = 4;
@@ -25,7 +25,7 @@
 
     private FrameCodec() {}
 
-    /** A frame that cannot be read or is too large to be sent. */
+    /** Thrown for a frame that cannot be decoded, or that cannot be encoded or is too large to be sent. */
     static final class BadFrameException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -39,7 +39,8 @@
             TMemoryBuffer out = new TMemoryBuffer(INITIAL_BYTES);
             frame.write(new TCompactProtocol(out));
             if (out.length() > MAX_FRAME) {
-                throw new BadFrameException("frame has " + out.length() + " bytes, at most " + MAX_FRAME, null);
+                throw new BadFrameException(
+                        "frame of " + out.length() + " bytes exceeds the limit of " + MAX_FRAME, null);
             }
             return Buffer.buffer(LENGTH_BYTES + out.length())
                     .appendInt(out.length())
@@ -49,17 +50,18 @@
         }
     }
 
-    /** Reads a frame without its length. */
+    /** Decodes a frame without its length field. */
     static PeerFrame decode(Buffer body) throws BadFrameException {
         Objects.requireNonNull(body, "body");
         try {
             byte[] bytes = body.getBytes();
-            // The message size bounds what lists and strings may claim, so a short frame cannot ask for much memory.
+            // The message size limits the declared lengths of lists and strings, so that a short frame cannot cause a
+            // large allocation.
             var limits = new TConfiguration(bytes.length, bytes.length, RECURSION_LIMIT);
             var frame = new PeerFrame();
             frame.read(new TCompactProtocol(new TMemoryInputTransport(limits, bytes)));
             if (frame.getSetField() == null) {
-                throw new BadFrameException("frame of no known type", null);
+                throw new BadFrameException("frame of unknown type", null);
             }
             return frame;
         } catch (TException | RuntimeException e) {
@@ -83,7 +85,7 @@
         }
     }
 
-    /** Inflates at most {@code limit} bytes. */
+    /** Inflates a document in zlib format to at most {@code limit} bytes. */
     static byte[] inflate(byte[] body, int limit) throws BadFrameException {
         var inflater = new Inflater();
         try {
@@ -93,7 +95,7 @@
             while (!inflater.finished()) {
                 int n = inflater.inflate(chunk);
                 if (n == 0 || out.length() + n > limit) {
-                    throw new BadFrameException("compressed document is cut off or longer than " + limit, null);
+                    throw new BadFrameException("compressed document is truncated or longer than " + limit, null);
                 }
                 out.appendBytes(chunk, 0, n);
             }
--- a/core/src/main/java/org/verbenatally/peer/MemberInfo.java
+++ b/core/src/main/java/org/verbenatally/peer/MemberInfo.java
@@ -9,15 +9,15 @@
 import org.verbenatally.core.InstanceId;
 
 /**
- * What this entry knows of an entry instance, itself included.
+ * State of an entry instance as seen from this one, which may be the same instance.
  *
- * @param instance its id
- * @param incarnation its run
- * @param address where it listens for peers
- * @param failureDomain where it runs
- * @param status its status as seen from here
- * @param configVersion the configuration it has in force
- * @param keySuccessor the instance that took over its idempotency keys, if it handed them over
+ * @param instance id of the instance
+ * @param incarnation incarnation of its latest known run
+ * @param address address at which it listens for peers
+ * @param failureDomain failure domain in which it runs
+ * @param status its status as seen from this instance
+ * @param configVersion version of the configuration that it has in force
+ * @param keySuccessor the instance that took over its idempotency keys, if it transferred them
  */
 public record MemberInfo(
         InstanceId instance,
@@ -32,7 +32,7 @@
     public enum Status {
         /** Its heartbeats arrive. */
         LIVE,
-        /** It has said that it is about to stop. */
+        /** It has announced that it is about to stop. */
         LEAVING,
         /** Its heartbeats are overdue. */
         SUSPECT,
--- a/core/src/main/java/org/verbenatally/peer/PeerHandler.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerHandler.java
@@ -15,51 +15,54 @@
 import org.verbenatally.wire.Suspect;
 import org.verbenatally.wire.TargetLoad;
 
-/** What the entry process supplies to and receives from its peers. Methods must not block. */
+/** Supplies the state of the entry process to its peers and receives theirs. Methods must not block. */
 public interface PeerHandler {
 
-    /** Runs a call whose idempotency key this instance owns, or completes with a refusal. Never fails. */
+    /**
+     * Runs a call whose idempotency key this instance owns, or completes with a rejection. Never completes
+     * exceptionally.
+     */
     CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call);
 
-    /** Takes one part of a leaving instance's key table; completes when the part is stored. */
+    /** Receives one part of a leaving instance's key table; completes when the part is stored. */
     CompletableFuture<Void> onKeyTransfer(InstanceId from, KeyTransfer part);
 
-    /** Returns what this instance has in flight on each target. */
+    /** Returns the in-flight load of this instance on each target. */
     List<TargetLoad> targetLoads();
 
-    /** Takes what another instance has in flight; replaces what the same instance said before. */
+    /** Receives the in-flight load of another instance, which replaces its previous report. */
     void onTargetLoads(InstanceId from, List<TargetLoad> loads);
 
     /** Returns the targets that this instance knows to be leaving. */
     Set<TargetId> leavingTargets();
 
-    /** Takes the targets that a peer knows to be leaving. */
+    /** Receives the targets that a peer knows to be leaving; replaces its previous report. */
     void onLeavingTargets(InstanceId from, Set<TargetId> targets);
 
-    /** Returns the suspect requests that this instance knows. */
+    /** Returns the suspect requests known to this instance. */
     List<Suspect> suspects();
 
-    /** Takes the suspect requests that a peer knows. */
+    /** Receives new and changed suspect requests from a peer. */
     void onSuspects(InstanceId from, List<Suspect> suspects);
 
     /**
-     * Checks published entries that a peer passes on.
+     * Checks published targets that a peer passes on.
      *
-     * @throws IllegalArgumentException if a field is not valid; the message names it
+     * @throws IllegalArgumentException if a field is invalid; the message names it
      */
-    default void checkPublished(List<PublishedTarget> entries) {}
+    default void checkPublished(List<PublishedTarget> targets) {}
 
-    /** Takes published entries that other instances have read and that are newer than what was known. */
-    default void onPublished(List<PublishedTarget> entries) {}
+    /** Receives published targets that other instances have read and that are newer than those known here. */
+    default void onPublished(List<PublishedTarget> targets) {}
 
-    /** Takes the age of a read of the published list, of which all entries that changed have been taken. */
+    /** Receives the age of a read of the published list, after all targets changed by that read have been received. */
     default void onPublishedAge(Duration age) {}
 
-    /** Returns the age of the newest read of the published list of which all changes are known. */
+    /** Returns the age of the newest read of the published list of which this instance knows all changes, if any. */
     default Optional<Duration> publishedAge() {
         return Optional.empty();
     }
 
-    /** Forgets what a peer said, after it has gone. */
+    /** Discards the state reported by a peer that is gone. */
     void onGone(InstanceId peer);
 }
--- a/core/src/main/java/org/verbenatally/peer/PeerOptions.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerOptions.java
@@ -12,20 +12,20 @@
 import org.verbenatally.settings.TlsSettings;
 
 /**
- * What {@link Peers} needs to know of its own process.
+ * Options of {@link Peers}.
  *
  * @param instance id of this instance
- * @param failureDomain failure domain it is in
- * @param region region it is in
+ * @param failureDomain failure domain of this instance
+ * @param region region of this instance
  * @param deployment name of the deployment; links to instances of another one are refused
  * @param host IP number to listen on
- * @param port port to listen on; 0 takes a free one
- * @param advertised address that peers connect to; empty: the one listened on
- * @param seeds addresses to try first
- * @param platform the platform's address; empty: no platform
- * @param tls key and certificates for mutual TLS; empty: plain text
- * @param seed seed of the random choices
- * @param timings periods and bounds
+ * @param port port to listen on; 0 selects a free one
+ * @param advertised address that peers connect to; empty: the listening address
+ * @param seeds addresses of peers to dial first
+ * @param platform address of the platform; empty: no platform
+ * @param tls key and certificates for mutual TLS; empty: plaintext connections
+ * @param seed seed of the random number generators
+ * @param timings periods and timeouts
  */
 public record PeerOptions(
         InstanceId instance,
@@ -41,7 +41,7 @@
         long seed,
         PeerTimings timings) {
 
-    /** Copies the seeds. */
+    /** Checks that required components are present and copies the seeds. */
     public PeerOptions {
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(failureDomain, "failureDomain");
@@ -52,7 +52,7 @@
         seeds = List.copyOf(seeds);
     }
 
-    /** Returns the options that checked settings describe, with standard timings. */
+    /** Returns the options given by validated settings, with standard timings. */
     public static PeerOptions of(EntrySettings s) {
         return new PeerOptions(
                 new InstanceId(s.getInstance()),
--- a/core/src/main/java/org/verbenatally/peer/PeerStats.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerStats.java
@@ -1,17 +1,17 @@
 package org.verbenatally.peer;
 
 /**
- * Counters of an instance's control traffic since its start.
+ * Counters of an instance's control traffic since it started.
  *
  * @param bytesSent bytes written to peer links, without TCP and IP headers
  * @param bytesReceived bytes read from peer links
  * @param configBytesSent bytes sent in configuration documents and deltas
- * @param links open links now
- * @param platformReads reads from the platform
- * @param configFetches documents asked for at peers
- * @param configDeltas documents that came as the difference to the one in force
- * @param configConflicts pairs of documents with one version that were seen
- * @param configRejections documents that were not valid
+ * @param links number of links currently open
+ * @param platformReads read requests sent to the platform
+ * @param configFetches documents requested from peers
+ * @param configDeltas documents received as a delta to the highest one known
+ * @param configConflicts pairs of different documents with the same version that were seen
+ * @param configRejections documents rejected as invalid
  */
 public record PeerStats(
         long bytesSent,
--- a/core/src/main/java/org/verbenatally/peer/PeerTimings.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerTimings.java
@@ -3,18 +3,18 @@
 import java.time.Duration;
 
 /**
- * Periods and bounds of membership and links.
+ * Periods and timeouts of membership, links and configuration reads.
  *
- * @param gossip period of the gossip frame on each link
- * @param linkSilence a link without a frame for this long is closed and opened again
- * @param suspect a member whose counter has not advanced for this long is suspect; grows with the fleet
- * @param gone a member whose counter has not advanced for this long is considered gone; grows with the fleet
- * @param forget a member that has been gone for this long is forgotten
- * @param successorMemory how long the key successor of a member that left is remembered; keys live as long
- * @param neighbourRenewal period in which all neighbours have been replaced by others; a new one is sent all tables
+ * @param gossip period of the gossip frames on each link
+ * @param linkSilence silence timeout of a link: one without a frame for this long is closed and opened again
+ * @param suspect a member whose heartbeat has not advanced for this long is suspect; minimum, grows with the fleet
+ * @param gone a member whose heartbeat has not advanced for this long is considered gone; minimum, grows with the fleet
+ * @param forget a member that is gone is forgotten after its heartbeat has not advanced for this long
+ * @param successorMemory how long the key successor of a member that left is remembered; the lifetime of the keys
+ * @param neighbourRenewal period in which all dialled neighbours are replaced; a new one is sent all tables
  * @param startupQueryTimeout how long a starting instance waits for the platform and for each peer
- * @param poll period of the configuration reads of an instance that is not a reader
- * @param longPoll longest wait of a reader's read
+ * @param poll period of the configuration reads of an instance that is not one of its region's readers
+ * @param longPoll maximum wait of a reader's long poll
  */
 public record PeerTimings(
         Duration gossip,
@@ -28,19 +28,21 @@
         Duration poll,
         Duration longPoll) {
 
-    /** Fleets up to this size beat at the gossip period; above it the beat period grows with the fleet. */
+    /**
+     * Up to this fleet size, heartbeats advance with each frame; above it the heartbeat period grows with the fleet.
+     */
     static final int FULL_RATE_MEMBERS = 64;
 
-    /** In a fleet without a link between any two members, links carry a periodic frame in each of this many periods. */
+    /** In a fleet that is not fully meshed, a link carries one periodic frame every this many gossip periods. */
     private static final int LARGE_FLEET_PERIODS = 2;
 
-    /** A member needs this many beat periods without an advance to become suspect. */
+    /** A member becomes suspect after at least this many heartbeat periods without an advance. */
     private static final int SUSPECT_PERIODS = 6;
 
-    /** A member is considered gone after this many suspect timeouts; at 500 ms this gives 15 s. */
+    /** A member is considered gone after this many suspect timeouts; 15 s at a gossip period of 500 ms. */
     private static final int GONE_RATIO = 5;
 
-    /** Returns the values that the design states. */
+    /** Returns the standard values. */
     public static PeerTimings standard() {
         return new PeerTimings(
                 Duration.ofMillis(500),
@@ -55,7 +57,7 @@
                 Duration.ofSeconds(30));
     }
 
-    /** Returns all values divided by the same number, for tests on loopback. */
+    /** Returns these timings with all values divided by the same number, for tests on loopback. */
     public PeerTimings dividedBy(int n) {
         return new PeerTimings(
                 gossip.dividedBy(n),
@@ -71,28 +73,28 @@
     }
 
     /**
-     * Returns the period of the heartbeat counter, at least that of the frames. Each beat crosses each link about once,
-     * so the traffic of an instance grows with the number of members over this period; above
-     * {@link #FULL_RATE_MEMBERS} the ratio is constant.
+     * Returns the period at which the heartbeat counter advances, which is at least that of the frames. Each heartbeat
+     * is sent over each link about once, so the traffic of an instance is proportional to the number of members divided
+     * by this period; above {@link #FULL_RATE_MEMBERS} members the ratio is constant.
      */
     Duration heartbeatPeriod(int members) {
         return max(framePeriod(members), gossip.multipliedBy(members).dividedBy(FULL_RATE_MEMBERS));
     }
 
-    /** Returns the period of the frames on a link; changes that matter sooner have frames of their own. */
+    /** Returns the period of the frames on a link; urgent changes are sent earlier in frames of their own. */
     Duration framePeriod(int members) {
         return members <= Links.FULL_MESH_MEMBERS ? gossip : gossip.multipliedBy(LARGE_FLEET_PERIODS);
     }
 
-    /** Returns the suspect timeout in a fleet of this size. */
+    /** Returns the time without a heartbeat after which a member of a fleet of this size is suspect. */
     Duration suspectTimeout(int members) {
         return max(suspect, heartbeatPeriod(members).multipliedBy(SUSPECT_PERIODS));
     }
 
-    /** Returns the time to gone in a fleet of this size. */
+    /** Returns the time without a heartbeat after which a member of a fleet of this size is considered gone. */
     Duration goneTimeout(int members) {
-        Duration grown = suspectTimeout(members).multipliedBy(GONE_RATIO);
-        return max(gone, grown);
+        Duration scaled = suspectTimeout(members).multipliedBy(GONE_RATIO);
+        return max(gone, scaled);
     }
 
     private static Duration max(Duration a, Duration b) {
--- a/core/src/main/java/org/verbenatally/peer/PeerTls.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerTls.java
@@ -7,9 +7,9 @@
 import io.vertx.core.net.PemTrustOptions;
 import org.verbenatally.settings.TlsSettings;
 
-/** Socket options of peer links, with mutual TLS where the settings ask for it. */
+/** Socket options of peer links, with mutual TLS if the settings require it. */
 final class PeerTls {
-    /** Peers are close to each other; a connection that takes longer than this is not going to come. */
+    /** Connect timeout. Peers have short round trips, so a connection that takes longer will not be established. */
     private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private PeerTls() {}
@@ -17,7 +17,7 @@
     static NetClientOptions client(PeerOptions options) {
         var result =
                 new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setTcpNoDelay(true);
-        // Peers are named by IP number; the certificate's issuer decides, not a host name.
+        // Peers are addressed by IP number, so they are verified by the issuer of their certificate, not by host name.
         result.setHostnameVerificationAlgorithm("");
         options.tls().ifPresent(tls -> {
             result.setSsl(true).setKeyCertOptions(key(tls));
--- a/core/src/main/java/org/verbenatally/peer/PlatformClient.java
+++ b/core/src/main/java/org/verbenatally/peer/PlatformClient.java
@@ -25,11 +25,13 @@
 import org.verbenatally.core.Step;
 import org.verbenatally.core.StepException;
 
-/** Client of the platform: its configuration service and its instance list. Futures fail with a StepException. */
+/** HTTP client for the platform's configuration and instance list. Futures fail with a {@link StepException}. */
 final class PlatformClient {
     private static final int OK = 200;
     private static final int NOT_MODIFIED = 304;
-    private static final Duration GRACE = Duration.ofSeconds(3);
+    /** Connect timeout, and time allowed for a response beyond the requested wait. */
+    private static final Duration TIMEOUT = Duration.ofSeconds(3);
+
     private static final int MAX_INSTANCES = 20_000;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
@@ -39,20 +41,20 @@
     PlatformClient(Vertx vertx, Address address) {
         this.address = address;
         http = vertx.createHttpClient(new HttpClientOptions()
-                .setConnectTimeout((int) GRACE.toMillis())
-                // A silent connection must not keep the next read waiting; reads are rare, so none is pooled.
+                .setConnectTimeout((int) TIMEOUT.toMillis())
+                // Connections are not pooled, so that a silent one cannot delay the next read; reads are rare.
                 .setKeepAlive(false));
     }
 
-    /** Reads a document newer than a version, or empty if there is none after the wait. */
+    /** Reads a document newer than a version; completes with empty if there is none within the wait. */
     CompletableFuture<Optional<byte[]>> config(long after, Duration wait) {
         String uri = "/v1/config?after=" + after + "&waitMs=" + wait.toMillis();
-        return get(uri, wait.plus(GRACE));
+        return get(uri, wait.plus(TIMEOUT));
     }
 
     /** Reads the instance list. */
     CompletableFuture<List<PlatformInstance>> instances() {
-        return get("/v1/instances", GRACE).thenApply(body -> parse(body.orElseThrow(() -> failure("no body", null))));
+        return get("/v1/instances", TIMEOUT).thenApply(body -> parse(body.orElseThrow(() -> failure("no body", null))));
     }
 
     private CompletableFuture<Optional<byte[]>> get(String uri, Duration timeout) {
@@ -63,22 +65,22 @@
                 .setURI(uri)
                 .setTimeout(timeout.toMillis());
         var result = new CompletableFuture<Optional<byte[]>>();
-        Future<HttpClientRequest> requested;
+        Future<HttpClientRequest> connecting;
         try {
-            requested = http.request(options);
+            connecting = http.request(options);
         } catch (IllegalStateException e) {
-            // The client is closed while a reading task is about to read.
+            // The client was closed just before a reading task sent its request.
             return CompletableFuture.failedFuture(failure(e.getMessage(), e));
         }
-        requested
-                .compose(request -> request.send().compose(this::body))
+        connecting
+                .compose(request -> request.send().compose(this::readBody))
                 .onSuccess(result::complete)
                 .onFailure(e -> result.completeExceptionally(
                         e instanceof StepException ? e : failure("read failed: " + e.getMessage(), e)));
         return result;
     }
 
-    private Future<Optional<byte[]>> body(HttpClientResponse response) {
+    private Future<Optional<byte[]>> readBody(HttpClientResponse response) {
         if (response.statusCode() == NOT_MODIFIED) {
             return Future.succeededFuture(Optional.empty());
         }
@@ -112,7 +114,7 @@
             }
             return result;
         } catch (IOException | IllegalArgumentException e) {
-            throw failure("instance list is not valid: " + e.getMessage(), e);
+            throw failure("instance list is invalid: " + e.getMessage(), e);
         }
     }
 
--- a/core/src/main/java/org/verbenatally/peer/PlatformInstance.java
+++ b/core/src/main/java/org/verbenatally/peer/PlatformInstance.java
@@ -6,27 +6,27 @@
 import org.verbenatally.core.Address;
 
 /**
- * One instance in the platform's list, which lags.
+ * An instance in the platform's instance list, which may be out of date.
  *
- * @param id its id
- * @param role what it is
- * @param address where it serves
- * @param peerAddress where it listens for peers; entries only
+ * @param id id of the instance
+ * @param role role of the instance
+ * @param address address at which it serves requests
+ * @param peerAddress address at which it listens for peers; entry instances only
  * @param leaving whether the platform is about to remove it
  */
 public record PlatformInstance(String id, Role role, Address address, Optional<Address> peerAddress, boolean leaving) {
 
-    /** What an instance is. */
+    /** The role of an instance. */
     public enum Role {
         /** An entry instance. */
         ENTRY,
         /** A model engine. */
         ENGINE,
-        /** A plain service. */
+        /** A service other than a model engine. */
         SERVICE
     }
 
-    /** Reads one item of the list; throws {@link IllegalArgumentException} that names the field. */
+    /** Parses an item of the list; throws an {@link IllegalArgumentException} that names the field that is invalid. */
     static PlatformInstance of(JsonNode item) {
         Role role =
                 switch (text(item, "role")) {
--- a/core/src/main/java/org/verbenatally/peer/PlatformReader.java
+++ b/core/src/main/java/org/verbenatally/peer/PlatformReader.java
@@ -13,14 +13,16 @@
 import org.jboss.logging.Logger;
 import org.verbenatally.core.InstanceId;
 
-/** Reads from the platform in two tasks, one for the configuration and one for the instance list. */
+/** Reads the configuration and the instance list from the platform, each in a task of its own. */
 final class PlatformReader {
     private static final Logger LOG = Logger.getLogger(PlatformReader.class);
 
-    /** Instances of a region that hold a long poll; three, so that one stays when two fail at once. */
+    /**
+     * Number of instances per region that long-poll the configuration; three, so that one remains if two fail at once.
+     */
     private static final int READERS_PER_REGION = 3;
 
-    /** Reads of the instance list over the whole fleet, a second; 2.5% of what the platform serves. */
+    /** Reads of the instance list by the whole fleet, per second; 2.5% of the platform's capacity. */
     private static final int LIST_READS_PER_SECOND = 50;
 
     private static final Duration LIST_PERIOD = Duration.ofSeconds(2);
@@ -56,8 +58,8 @@
     }
 
     void start() {
-        configTask = Thread.ofVirtual().name("config-" + self).start(this::readConfig);
-        listTask = Thread.ofVirtual().name("instances-" + self).start(this::readInstances);
+        configTask = Thread.ofVirtual().name("config-" + self).start(this::readConfigRepeatedly);
+        listTask = Thread.ofVirtual().name("instances-" + self).start(this::readInstancesRepeatedly);
     }
 
     boolean isReader() {
@@ -65,24 +67,24 @@
                 .contains(self);
     }
 
-    private void readConfig() {
+    private void readConfigRepeatedly() {
         try {
             long backoff = timings.gossip().toNanos();
             while (!closed) {
                 if (!isReader()) {
                     backoff = timings.gossip().toNanos();
-                    awaitTurn();
+                    awaitNextPoll();
                 }
                 long before = propagator.version();
                 long start = System.nanoTime();
                 Duration wait = isReader() ? timings.longPoll() : Duration.ZERO;
                 reads.incrementAndGet();
-                boolean read = propagator.read(client, wait);
+                boolean succeeded = propagator.read(client, wait);
                 boolean waited = System.nanoTime() - start > wait.toNanos() / 2 && wait.isPositive();
-                if (read && (waited || propagator.version() > before)) {
+                if (succeeded && (waited || propagator.version() > before)) {
                     backoff = timings.gossip().toNanos();
                 } else if (isReader()) {
-                    // Down, or it answers at once with an old or invalid document: reads must not spin.
+                    // The platform is down, or responds at once with an old or invalid document: back off.
                     pause(backoff);
                     backoff = Math.min(backoff * 2, timings.longPoll().toNanos() / 3);
                 }
@@ -92,10 +94,10 @@
         }
     }
 
-    /** Waits a poll period with jitter, or until this instance becomes a reader. */
-    private void awaitTurn() throws InterruptedException {
-        double share = 0.5 + random.nextDouble();
-        long until = System.nanoTime() + (long) (timings.poll().toNanos() * share);
+    /** Waits for a poll period with jitter, or until this instance becomes a reader. */
+    private void awaitNextPoll() throws InterruptedException {
+        double jitter = 0.5 + random.nextDouble();
+        long until = System.nanoTime() + (long) (timings.poll().toNanos() * jitter);
         while (System.nanoTime() - until < 0 && !isReader()) {
             TimeUnit.NANOSECONDS.sleep(timings.gossip().multipliedBy(2).toNanos());
         }
@@ -105,25 +107,25 @@
         TimeUnit.NANOSECONDS.sleep((long) (nanos * (0.5 + random.nextDouble())));
     }
 
-    private void readInstances() {
+    private void readInstancesRepeatedly() {
         try {
             while (!closed) {
                 readInstancesOnce();
-                long share = TimeUnit.SECONDS.toNanos(membership.members().size()) / LIST_READS_PER_SECOND;
-                pause(Math.max(LIST_PERIOD.toNanos(), share));
+                long periodNanos = TimeUnit.SECONDS.toNanos(membership.members().size()) / LIST_READS_PER_SECOND;
+                pause(Math.max(LIST_PERIOD.toNanos(), periodNanos));
             }
         } catch (InterruptedException e) {
             LOG.debug("peer: instance list task ends");
         }
     }
 
-    /** Reads the configuration once, without a wait. */
+    /** Reads the configuration once, without a long poll. */
     void readConfigOnce() throws InterruptedException {
         reads.incrementAndGet();
         propagator.read(client, Duration.ZERO);
     }
 
-    /** Reads the instance list once; failures are left to the next read. */
+    /** Reads the instance list once; after a failure the next read tries again. */
     void readInstancesOnce() throws InterruptedException {
         try {
             reads.incrementAndGet();
--- a/core/src/main/java/org/verbenatally/peer/Rendezvous.java
+++ b/core/src/main/java/org/verbenatally/peer/Rendezvous.java
@@ -7,11 +7,11 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import org.verbenatally.core.InstanceId;
 
-/** Rendezvous hashing: all instances that know the same members choose the same ones for a subject. */
+/** Rendezvous hashing: all instances that know the same members choose the same of them for a subject. */
 public final class Rendezvous {
     private Rendezvous() {}
 
-    /** Returns the first {@code n} members for a subject, in order of their weight. */
+    /** Returns the {@code n} members with the highest weight for a subject, highest first. */
     public static List<InstanceId> choose(String subject, Collection<InstanceId> members, int n) {
         return members.stream()
                 .sorted(Comparator.comparingLong((InstanceId m) -> weight(subject, m))
--- a/core/src/main/java/org/verbenatally/peer/package-info.java
+++ b/core/src/main/java/org/verbenatally/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Links between entry instances: membership, state exchange, forwarding and configuration dissemination. */
+/** Links between entry instances: membership, state exchange, forwarding and configuration propagation. */
 package org.verbenatally.peer;
