--- a/core/src/main/java/org/verbenatally/peer/ConfigPropagator.java
+++ b/core/src/main/java/org/verbenatally/peer/ConfigPropagator.java
@@ -61,7 +61,7 @@
     private final AtomicLong rejections = new AtomicLong();
     private final AtomicLong fetches = new AtomicLong();
     private final AtomicLong deltas = new AtomicLong();
-    private volatile String lastFault = "none was offered";
+    private volatile String lastFault = "none has been offered";
     private String lastConflict = "";
     private volatile boolean started;
     private volatile Fetch fetch;
@@ -174,8 +174,8 @@
             lastConflict = pair;
             conflicts.incrementAndGet();
             LOG.errorf(
-                    "config: two documents have version %d (digests %.8s and %.8s); the higher digest wins, publish a"
-                            + " new version",
+                    "config: two different documents have version %d (digests %.8s and %.8s); the higher digest wins,"
+                            + " publish a new version",
                     version, first, second);
         }
     }
@@ -297,7 +297,7 @@
             platform.config(version(), wait).get().ifPresent(body -> offer("platform", body));
             return true;
         } catch (ExecutionException e) {
-            LOG.debugf("config: %s", e.getCause().getMessage());
+            LOG.debugf("config: read from the platform failed: %s", e.getCause().getMessage());
             lastFault = e.getCause().getMessage();
             return false;
         }
--- a/core/src/main/java/org/verbenatally/peer/Forwarder.java
+++ b/core/src/main/java/org/verbenatally/peer/Forwarder.java
@@ -86,7 +86,7 @@
             link.calls.put(id, response);
             try {
                 if (!link.send(PeerFrame.forwardCall(call.deepCopy().setCallId(id)))) {
-                    link.close("cannot send");
+                    link.close("frame could not be sent");
                 }
                 if (link.isClosed()) {
                     response.completeExceptionally(new Link.LinkClosedException("link was closed"));
@@ -107,7 +107,7 @@
                 TimeUnit.NANOSECONDS.sleep(OWNER_CHECK_PERIOD.toNanos());
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw failure(owner, "was interrupted", e);
+                throw failure(owner, "interrupted while waiting for the key owner", e);
             }
             known = membership.keyOwner(owner);
         }
@@ -137,7 +137,7 @@
         try {
             for (KeyTransfer part : parts) {
                 if (!link.send(PeerFrame.keyTransfer(part))) {
-                    link.close("cannot send");
+                    link.close("frame could not be sent");
                 }
             }
             if (link.isClosed()) {
@@ -185,7 +185,7 @@
         } catch (ExecutionException e) {
             throw failure(owner, "cannot be reached: " + e.getCause().getMessage(), e.getCause());
         } catch (CancellationException | InterruptedException e) {
-            throw failure(owner, "was interrupted", e);
+            throw failure(owner, "interrupted while waiting for the response", e);
         }
     }
 
--- a/core/src/main/java/org/verbenatally/peer/FrameCodec.java
+++ b/core/src/main/java/org/verbenatally/peer/FrameCodec.java
@@ -95,7 +95,8 @@
             while (!inflater.finished()) {
                 int n = inflater.inflate(chunk);
                 if (n == 0 || out.length() + n > limit) {
-                    throw new BadFrameException("compressed document is truncated or longer than " + limit, null);
+                    throw new BadFrameException(
+                            "compressed document is truncated or its size in bytes exceeds " + limit, null);
                 }
                 out.appendBytes(chunk, 0, n);
             }
--- a/core/src/main/java/org/verbenatally/peer/Links.java
+++ b/core/src/main/java/org/verbenatally/peer/Links.java
@@ -201,7 +201,7 @@
                 backoffs.remove(address);
                 if (run.equals(self)) {
                     ownAddresses.add(address);
-                    link.close("this is the own address");
+                    link.close("the address belongs to this instance");
                 }
                 result.complete(link);
             });
@@ -224,7 +224,7 @@
     /** Handles the hello of a peer and closes the links that become redundant. */
     void onHello(Link link, Hello hello) {
         if (hello.getProtocol() != PROTOCOL || !hello.getDeployment().equals(options.deployment())) {
-            throw new IllegalArgumentException("hello of protocol " + hello.getProtocol() + ", deployment "
+            throw new IllegalArgumentException("peer uses protocol " + hello.getProtocol() + ", deployment "
                     + hello.getDeployment() + "; expected " + PROTOCOL + ", " + options.deployment());
         }
         Run run = new Run(
--- a/core/src/main/java/org/verbenatally/peer/Membership.java
+++ b/core/src/main/java/org/verbenatally/peer/Membership.java
@@ -124,7 +124,7 @@
             return false;
         }
         if (known == null && runs.size() >= MAX_RECORDS) {
-            throw new IllegalArgumentException("more than " + MAX_RECORDS + " members");
+            throw new IllegalArgumentException("more than " + MAX_RECORDS + " member records");
         }
         return put(known == null ? r : known.member.merge(r), sourceLink)
                 && (latest != null || r.state() != MemberState.LIVE);
@@ -134,7 +134,8 @@
         if (!duplicateIdSeen) {
             duplicateIdSeen = true;
             LOG.errorf(
-                    "peer: another run of instance %s is live at %s; ids must be unique", self.instance(), r.address());
+                    "peer: another instance with id %s runs at %s; instance ids must be unique",
+                    self.instance(), r.address());
         }
     }
 
@@ -426,11 +427,11 @@
         if (tracked.member.state() == MemberState.LEFT || tracked.gone) {
             return Status.GONE;
         }
-        long silent = now - tracked.lastAdvance;
-        if (silent >= goneNanos) {
+        long sinceAdvance = now - tracked.lastAdvance;
+        if (sinceAdvance >= goneNanos) {
             return Status.GONE;
         }
-        if (silent >= suspectNanos) {
+        if (sinceAdvance >= suspectNanos) {
             return Status.SUSPECT;
         }
         return tracked.member.state() == MemberState.LEAVING ? Status.LEAVING : Status.LIVE;
--- a/core/src/main/java/org/verbenatally/peer/PlatformClient.java
+++ b/core/src/main/java/org/verbenatally/peer/PlatformClient.java
@@ -65,14 +65,14 @@
                 .setURI(uri)
                 .setTimeout(timeout.toMillis());
         var result = new CompletableFuture<Optional<byte[]>>();
-        Future<HttpClientRequest> connecting;
+        Future<HttpClientRequest> requestFuture;
         try {
-            connecting = http.request(options);
+            requestFuture = http.request(options);
         } catch (IllegalStateException e) {
             // The client was closed just before a reading task sent its request.
             return CompletableFuture.failedFuture(failure(e.getMessage(), e));
         }
-        connecting
+        requestFuture
                 .compose(request -> request.send().compose(this::readBody))
                 .onSuccess(result::complete)
                 .onFailure(e -> result.completeExceptionally(
@@ -106,7 +106,7 @@
         try {
             JsonNode list = MAPPER.readTree(body);
             if (!list.isArray() || list.size() > MAX_INSTANCES) {
-                throw failure("instance list must be an array of at most " + MAX_INSTANCES, null);
+                throw failure("instance list is not an array or has more items than " + MAX_INSTANCES, null);
             }
             List<PlatformInstance> result = new ArrayList<>();
             for (JsonNode item : list) {
--- a/core/src/main/java/org/verbenatally/peer/PlatformReader.java
+++ b/core/src/main/java/org/verbenatally/peer/PlatformReader.java
@@ -132,7 +132,8 @@
             List<PlatformInstance> list = client.instances().get();
             listeners.forEach(l -> l.accept(list));
         } catch (ExecutionException e) {
-            LOG.debugf("peer: instance list: %s", e.getCause().getMessage());
+            LOG.debugf(
+                    "peer: reading the instance list failed: %s", e.getCause().getMessage());
         }
     }
 
--- a/core/src/test/java/org/verbenatally/peer/DocumentDeltaTest.java
+++ b/core/src/test/java/org/verbenatally/peer/DocumentDeltaTest.java
@@ -32,16 +32,16 @@
                 .isEqualTo(to);
     }
 
-    /** Guards against a faulty peer that makes a member read outside its document or fill its memory. */
+    /** Guards against a faulty peer that makes a member read beyond its document or exhausts its memory. */
     @Test
-    void refusesPartsOutsideTheBaseAndLongResults() {
+    void rejectsPartsOutsideTheBaseAndLongResults() {
         byte[] base = "a\nb\n".getBytes(StandardCharsets.UTF_8);
         for (int[] p : new int[][] {{-1, 1}, {0, 3}, {2, 1}, {0, 0}, {1, Integer.MAX_VALUE}}) {
             var part = new DeltaPart().setFirstLine(p[0]).setLines(p[1]);
             assertThatIllegalArgumentException().isThrownBy(() -> DocumentDelta.apply(base, List.of(part), 100));
         }
-        var whole = new DeltaPart().setFirstLine(0).setLines(2);
+        var allLines = new DeltaPart().setFirstLine(0).setLines(2);
         assertThatIllegalArgumentException()
-                .isThrownBy(() -> DocumentDelta.apply(base, List.of(whole, whole, whole), 10));
+                .isThrownBy(() -> DocumentDelta.apply(base, List.of(allLines, allLines, allLines), 10));
     }
 }
--- a/core/src/test/java/org/verbenatally/peer/FaultTest.java
+++ b/core/src/test/java/org/verbenatally/peer/FaultTest.java
@@ -30,7 +30,7 @@
 class FaultTest {
     private final Fleet fleet = new Fleet();
 
-    /** Documents that each stand-in of the platform serves; absent: it is down. */
+    /** The document that each platform stand-in serves; a stand-in without one responds as if it were down. */
     private final Map<Address, byte[]> served = new ConcurrentHashMap<>();
 
     @AfterEach
@@ -38,7 +38,7 @@
         fleet.close();
     }
 
-    private Address platform() throws Exception {
+    private Address startPlatform() throws Exception {
         HttpServer server = fleet.vertx.createHttpServer();
         Address[] address = new Address[1];
         server.requestHandler(request -> {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Guards against a configuration that reverts, or that some instances never get: each instance has its own
-     * platform, and platforms are down, stale, flapping, invalid or disagree about one version.
+     * Guards against a configuration that reverts or does not reach all instances. Each instance has its own platform,
+     * and platforms are down, stale or flapping, serve invalid documents or disagree about one version.
      */
     @ParameterizedTest
     @ValueSource(strings = {"down", "stale", "flapping", "invalid", "conflict"})
@@ -65,7 +65,7 @@
         boolean twinWins = java.util.Arrays.compareUnsigned(ConfigReader.digest(twin), ConfigReader.digest(high)) > 0;
         List<Address> platforms = new ArrayList<>();
         for (int i = 1; i <= 4; i++) {
-            platforms.add(platform());
+            platforms.add(startPlatform());
             fleet.start("e" + i, Optional.of(platforms.getLast()), fleet.timers);
         }
         fleet.awaitAllLive();
@@ -89,7 +89,7 @@
             assertThat(n.peers.notReadyReason()).isEmpty();
         });
         if (fault.equals("invalid")) {
-            // The invalid documents may arrive after the valid one; they must be refused and change nothing.
+            // The invalid documents may arrive after the valid one; they must be rejected and change nothing.
             Fleet.await(() -> List.of("e2", "e3", "e4").stream()
                     .allMatch(id -> fleet.node(id).peers.stats().configRejections() > 0));
         } else {
@@ -102,10 +102,12 @@
                         assertThat(n.config.document().orElseThrow().body()).isEqualTo(winner));
     }
 
-    /** Guards against whole documents on all links for each small change, which would pass the traffic limit. */
+    /**
+     * Guards against complete documents sent on all links for each small change, which would exceed the traffic limit.
+     */
     @Test
-    void smallChangeOfALargeDocumentTravelsAsDelta() throws Exception {
-        Address platform = platform();
+    void smallChangeOfALargeDocumentIsSentAsDelta() throws Exception {
+        Address platform = startPlatform();
         String padding = "padding\n// ".repeat(400);
         served.put(platform, Fleet.document(1, padding));
         fleet.start("e1", Optional.of(platform), fleet.timers);
@@ -118,30 +120,34 @@
         assertThat(fleet.node("e2").config.document().orElseThrow().body()).isEqualTo(Fleet.document(2, padding));
     }
 
-    /** Guards against an instance that serves without a configuration or with one that its peers have replaced. */
+    /**
+     * Guards against an instance that becomes ready without a configuration or with one that its peers have replaced.
+     */
     @Test
     void startingInstanceIsReadyOnlyWithTheVersionOfItsPeers() throws Exception {
-        var one = fleet.start("e1");
-        Fleet.await(() -> one.peers
+        var first = fleet.start("e1");
+        Fleet.await(() -> first.peers
                 .notReadyReason()
                 .filter(r -> r.contains("no valid document"))
                 .isPresent());
-        Address platform = platform();
+        Address platform = startPlatform();
         served.put(platform, Fleet.document(2, "old"));
-        one.config.offer(ConfigReader.readDocument("test", Fleet.document(5, "new")));
-        var two = fleet.start("e2", Optional.of(platform), fleet.timers);
-        Fleet.await(() -> two.peers.notReadyReason().isEmpty());
-        assertThat(two.version()).isEqualTo(5);
+        first.config.offer(ConfigReader.readDocument("test", Fleet.document(5, "new")));
+        var second = fleet.start("e2", Optional.of(platform), fleet.timers);
+        Fleet.await(() -> second.peers.notReadyReason().isEmpty());
+        assertThat(second.version()).isEqualTo(5);
     }
 
-    /** Guards against a restarted instance that applies an old copy of the platform before its peers have answered. */
+    /**
+     * Guards against a restarted instance that applies an old copy from the platform before its peers have responded.
+     */
     @Test
     void startingInstanceNeverAppliesALowerVersionThanItsPeersHave() throws Exception {
-        Address fresh = platform();
+        Address fresh = startPlatform();
         served.put(fresh, Fleet.document(7, "high"));
         fleet.start("e1", Optional.of(fresh), fleet.timers);
         Fleet.await(() -> fleet.node("e1").version() == 7);
-        Address stale = platform();
+        Address stale = startPlatform();
         served.put(stale, Fleet.document(3, "low"));
         for (int i = 2; i <= 5; i++) {
             Fleet.Node node = fleet.start("e" + i, Optional.of(stale), fleet.timers);
@@ -151,29 +157,29 @@
     }
 
     /**
-     * Guards against a restarted instance that applies an old copy of the platform because a peer, which had dialled
-     * it at the same moment, closed the link on which it was asked and told its version on the other one.
+     * Guards against a restarted instance that applies an old copy from the platform. A peer that dials the instance at
+     * the moment it is dialled itself closes one of the two links and reports its version on the other one.
      */
     @Test
     void startingInstanceWaitsForAPeerThatKeepsAnotherLink() throws Exception {
-        Address stale = platform();
+        Address stale = startPlatform();
         served.put(stale, Fleet.document(3, "low"));
         try (var peer = new ScriptedPeer(fleet.vertx, "a1", 7, Fleet.document(7, "high"))) {
             var node = fleet.start("e2", List.of(peer.address()), Optional.of(stale), fleet.timers);
-            peer.onConnection(asked -> peer.dial(node.peers.address()).thenAccept(own -> {
-                asked.close();
-                // Well within the time that a starting instance waits for each peer.
-                fleet.timers.after(fleet.timings.startupQueryTimeout().dividedBy(3), own::tellVersion);
+            peer.onConnection(queryLink -> peer.dial(node.peers.address()).thenAccept(otherLink -> {
+                queryLink.close();
+                // Well within the time for which a starting instance waits for each peer.
+                fleet.timers.after(fleet.timings.startupQueryTimeout().dividedBy(3), otherLink::sendVersion);
             }));
             Fleet.await(() -> node.peers.notReadyReason().isEmpty());
             assertThat(node.versions).containsExactly(7L);
         }
     }
 
-    /** Guards against sides of a partition that stop, that revert, or that do not come together again. */
+    /** Guards against sides of a partition that stop working, revert their configuration or do not merge again. */
     @Test
     void partitionedSidesContinueAndMergeToTheHigherVersion() throws Exception {
-        fleet.of(4);
+        fleet.startMembers(4);
         List<String> left = List.of("e1", "e2");
         fleet.nodes.forEach((from, a) -> fleet.nodes.forEach((to, b) -> {
             if (left.contains(from) != left.contains(to)) {
@@ -182,7 +188,7 @@
         }));
         Fleet.await(() ->
                 fleet.nodes.values().stream().allMatch(n -> n.count(Status.LIVE) == 2 && n.count(Status.GONE) == 2));
-        Address platform = platform();
+        Address platform = startPlatform();
         served.put(platform, Fleet.document(4, "left"));
         fleet.start("e5", Optional.of(platform), fleet.timers);
         fleet.node("e3").config.offer(ConfigReader.readDocument("test", Fleet.document(6, "right")));
@@ -194,11 +200,11 @@
         Fleet.await(() -> fleet.nodes.values().stream().allMatch(n -> n.version() == 6));
     }
 
-    /** Guards against a paused process that declares all others dead when it continues. */
+    /** Guards against a paused process that declares all other members gone when it resumes. */
     @Test
-    void pausedProcessDeclaresNobodyDead() throws Exception {
+    void pausedProcessDeclaresNoMemberGone() throws Exception {
         var timers = new PausableTimers();
-        fleet.of(2);
+        fleet.startMembers(2);
         var paused = fleet.start("e3", Optional.empty(), timers);
         fleet.awaitAllLive();
         timers.pause();
@@ -215,10 +221,10 @@
         timers.close();
     }
 
-    /** Guards against links that stay open and useless for ever after their connection went silent. */
+    /** Guards against links that stay open for ever after their connection went silent. */
     @Test
     void silentLinkIsReplacedBeforeTheMemberIsGone() throws Exception {
-        fleet.of(2);
+        fleet.startMembers(2);
         long silenced = fleet.network.silence("e1", fleet.node("e2").peers.address())
                 + fleet.network.silence("e2", fleet.node("e1").peers.address());
         assertThat(silenced).isPositive();
@@ -255,7 +261,7 @@
         };
     }
 
-    /** Guards against one malformed frame that takes down other links, or is used. */
+    /** Guards against a malformed frame that is applied or affects other links. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -269,7 +275,7 @@
                 "zip bomb"
             })
     void malformedFrameClosesOnlyItsConnection(String fault) throws Exception {
-        fleet.of(2);
+        fleet.startMembers(2);
         var node = fleet.node("e1");
         Address address = node.peers.address();
         NetSocket socket = fleet.vertx
--- a/core/src/test/java/org/verbenatally/peer/Fleet.java
+++ b/core/src/test/java/org/verbenatally/peer/Fleet.java
@@ -32,14 +32,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Several peers in one process over loopback. */
+/** Several peers in one process, connected over loopback. */
 final class Fleet implements AutoCloseable {
     static final String DEPLOYMENT = "test";
 
-    /** Far beyond any bound under test; only a failed test waits this long. */
-    static final Duration PATIENCE = Duration.ofSeconds(20);
+    /** Much longer than any timeout under test; only a failing test waits this long. */
+    static final Duration TIMEOUT = Duration.ofSeconds(20);
 
-    /** A fifth of the standard periods. */
+    /** The standard timings, divided by five. */
     final PeerTimings timings = PeerTimings.standard().dividedBy(5);
 
     final Vertx vertx = Vertx.vertx();
@@ -58,7 +58,7 @@
         final List<KeyTransfer> transfers = new java.util.concurrent.CopyOnWriteArrayList<>();
         volatile List<TargetLoad> ownLoads = List.of();
         volatile Set<TargetId> ownLeaving = Set.of();
-        volatile CompletableFuture<Void> answerGate = CompletableFuture.completedFuture(null);
+        volatile CompletableFuture<Void> responseGate = CompletableFuture.completedFuture(null);
         Peers<Deployment> peers;
 
         @Override
@@ -66,7 +66,7 @@
             String body = peers.self() + " got " + call.getKey() + " from " + from;
             var result =
                     new ForwardResult(0, "done", 200, java.nio.ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
-            return answerGate.thenApply(v -> result);
+            return responseGate.thenApply(v -> result);
         }
 
         @Override
@@ -106,8 +106,8 @@
         }
 
         @Override
-        public void onPublished(List<PublishedTarget> entries) {
-            entries.forEach(entry -> published.add(entry.getTarget()));
+        public void onPublished(List<PublishedTarget> targets) {
+            targets.forEach(target -> published.add(target.getTarget()));
         }
 
         @Override
@@ -152,7 +152,7 @@
                 7,
                 timings);
         node.peers = Peers.start(options, vertx, network.from(id), timers, node.config, ConfigReader::read, node)
-                .get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+                .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         node.peers.onConfig(d -> node.versions.add(d.version().value()));
         nodes.put(id, node);
         return node;
@@ -162,8 +162,8 @@
         return start(id, Optional.empty(), timers);
     }
 
-    /** Starts {@code e1}, {@code e2}, ... and waits until all see all as live. */
-    Fleet of(int n) throws Exception {
+    /** Starts members {@code e1}, {@code e2}, ... and waits until each sees all members as live. */
+    Fleet startMembers(int n) throws Exception {
         for (int i = 1; i <= n; i++) {
             start("e" + i);
         }
@@ -179,18 +179,18 @@
         await(() -> nodes.values().stream().allMatch(n -> n.count(MemberInfo.Status.LIVE) == nodes.size()));
     }
 
-    /** Waits for a condition without a bound on speed. */
+    /** Waits until a condition is met; fails after {@link #TIMEOUT}. */
     static void await(BooleanSupplier condition) {
-        long until = System.nanoTime() + PATIENCE.toNanos();
+        long until = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime() - until)
-                    .as("condition not met in %s", PATIENCE)
+                    .as("condition not met in %s", TIMEOUT)
                     .isNegative();
             java.util.concurrent.locks.LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(5));
         }
     }
 
-    /** Returns a valid document; another comment gives another digest. */
+    /** Returns a valid document; documents with different comments have different digests. */
     static byte[] document(long version, String comment) {
         return ("""
                 // %s
@@ -206,9 +206,9 @@
     @Override
     public void close() throws Exception {
         for (Node n : nodes.values()) {
-            n.peers.abort().get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+            n.peers.abort().get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
         }
         timers.close();
-        vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE.toSeconds(), TimeUnit.SECONDS);
+        vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 }
--- a/core/src/test/java/org/verbenatally/peer/LoadTableTest.java
+++ b/core/src/test/java/org/verbenatally/peer/LoadTableTest.java
@@ -29,7 +29,7 @@
     private static final int ALL = 1_000;
     private final ManualTimer timer = new ManualTimer();
     private final LoadTable here = table("here", 1);
-    private final Map<String, Long> notified = new HashMap<>();
+    private final Map<String, Long> notifiedTokens = new HashMap<>();
 
     private LoadTable table(String instance, long incarnation) {
         return new LoadTable(new Run(new InstanceId(instance), new Incarnation(incarnation)), timer);
@@ -40,7 +40,7 @@
     }
 
     private void onLoads(InstanceId instance, List<TargetLoad> loads) {
-        notified.put(
+        notifiedTokens.put(
                 instance.value(),
                 loads.stream().mapToLong(TargetLoad::getTokens).sum());
     }
@@ -60,7 +60,7 @@
                 Optional.empty()));
     }
 
-    /** Pattern: a chain of instances without a link between the ends. Guards against loads of neighbours only. */
+    /** Guards against loads known to neighbours only: a chain of instances has no link between its ends. */
     @Test
     void loadsArePassedOn() {
         LoadTable far = table("far", 1);
@@ -70,7 +70,7 @@
                 .isTrue();
         assertThat(here.receive(middle.changes(0, 2, ALL).values(), LINK, this::onLoads))
                 .isTrue();
-        assertThat(notified).containsEntry("far", 150L);
+        assertThat(notifiedTokens).containsEntry("far", 150L);
         long serial = far.changes(0, LINK, ALL).serial();
         far.reportOwn(List.of(load("a", 100)));
         assertThat(far.changes(serial, LINK, ALL).values())
@@ -79,12 +79,12 @@
                         .extracting(TargetLoad::getTarget)
                         .containsExactly("b"));
         receive(far, serial);
-        assertThat(notified).containsEntry("far", 100L);
+        assertThat(notifiedTokens).containsEntry("far", 100L);
     }
 
-    /** Pattern: long generations. Guards against frames for every token, and against growth that is never told. */
+    /** Guards against frames for every token of a long generation, and against growth that is never reported. */
     @Test
-    void growthIsStatedInSteps() {
+    void growthIsReportedInSteps() {
         here.reportOwn(List.of(load("a", 5_000)));
         long serial = here.changes(0, LINK, ALL).serial();
         here.reportOwn(List.of(load("a", 5_500)));
@@ -93,36 +93,36 @@
         assertThat(here.changes(serial, LINK, ALL).values()).hasSize(1);
     }
 
-    /** Guards against load that stays after its instance fell silent, and that is lost when it returns. */
+    /** Guards against load that is still counted when its instance is suspect, or is lost when the instance returns. */
     @Test
-    void silentInstancesAreNotCountedUntilTheyReturn() {
+    void unresponsiveInstancesAreNotCountedUntilTheyReturn() {
         LoadTable other = table("other", 5);
         other.reportOwn(List.of(load("a", 100)));
         receive(other, 0);
         here.tick(members(Status.SUSPECT, 5), this::onLoads);
-        assertThat(notified).containsEntry("other", 0L);
+        assertThat(notifiedTokens).containsEntry("other", 0L);
         here.tick(members(Status.LIVE, 5), this::onLoads);
-        assertThat(notified).containsEntry("other", 100L);
+        assertThat(notifiedTokens).containsEntry("other", 100L);
     }
 
-    /** Guards against load of an earlier run, whether the new run has load or none. */
+    /** Guards against load of an earlier run that is still counted, whether the new run has load or none. */
     @Test
     void restartEndsTheLoadOfTheEarlierRun() {
         LoadTable first = table("other", 5);
         first.reportOwn(List.of(load("a", 100)));
         receive(first, 0);
         here.tick(members(Status.LIVE, 6), this::onLoads);
-        assertThat(notified).containsEntry("other", 0L);
+        assertThat(notifiedTokens).containsEntry("other", 0L);
         assertThat(receive(first, 0)).isFalse();
         LoadTable second = table("other", 6);
         second.reportOwn(List.of(load("b", 7)));
         receive(second, 0);
-        assertThat(notified).containsEntry("other", 7L);
+        assertThat(notifiedTokens).containsEntry("other", 7L);
     }
 
-    /** Guards against load that has ended, told by an instance that was cut off since. */
+    /** Guards against load that has ended but is passed on again by an instance that was disconnected in between. */
     @Test
-    void ownStatementIsRepeatedAgainstOldHearsay() {
+    void ownLoadIsReportedAgainAfterOutdatedReport() {
         here.reportOwn(List.of(load("a", 100)));
         List<InstanceLoads> old = here.changes(0, LINK, ALL).values();
         here.reportOwn(List.of());
@@ -135,29 +135,29 @@
                 .satisfies(s -> assertThat(s.getLoads().getFirst().getTokens()).isZero());
     }
 
-    /** Guards against statements that make decisions absurd; nothing of a frame with one is taken. */
+    /** Guards against invalid loads in routing decisions; a frame with one is rejected as a whole. */
     @ParameterizedTest
     @CsvSource({"a, -1, 0, 0", "a, 0, -1, 0", "a, 0, 0, -1", "'', 1, 1, 1"})
-    void refusesAbsurdStatements(String target, int requests, long tokens, long unread) {
+    void rejectsInvalidLoads(String target, int requests, long tokens, long unread) {
         var good = new InstanceLoads("good", 1, List.of(load("a", 5).setNumber(1)));
         var bad =
                 new InstanceLoads("bad", 1, List.of(new TargetLoad(target, requests, tokens).setUnreadTokens(unread)));
         assertThatIllegalArgumentException().isThrownBy(() -> here.receive(List.of(good, bad), LINK, this::onLoads));
-        assertThat(notified).isEmpty();
+        assertThat(notifiedTokens).isEmpty();
         assertThat(here.changes(0, 2, ALL).values()).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"-1, 0", "3, 2", "1, -1"})
-    void refusesAbsurdOutcomes(int failures, int answers) {
+    void rejectsInvalidFailureCounts(int failures, int answers) {
         var load = new TargetLoad("a", 0, 0).setFailures(failures).setAnswers(answers);
         var bad = new InstanceLoads("bad", 1, List.of(load));
         assertThatIllegalArgumentException().isThrownBy(() -> here.receive(List.of(bad), LINK, this::onLoads));
     }
 
-    /** Guards against frames for each answer of a failing target, and against failures that are never over. */
+    /** Guards against frames for each answer of a failing target, and against failures that are reported for ever. */
     @Test
-    void failuresAreNewsAndAnswersAloneAreNot() {
+    void failuresAreReportedButAnswersAloneAreNot() {
         here.reportOwn(List.of(new TargetLoad("a", 0, 0).setFailures(1).setAnswers(3)));
         long serial = here.changes(0, LINK, ALL).serial();
         here.reportOwn(List.of(new TargetLoad("a", 0, 0).setFailures(1).setAnswers(5)));
--- a/core/src/test/java/org/verbenatally/peer/MembershipTest.java
+++ b/core/src/test/java/org/verbenatally/peer/MembershipTest.java
@@ -43,21 +43,21 @@
         return new Run(new InstanceId(id), new Incarnation(incarnation));
     }
 
-    private static MemberRecord row(Run run, MemberState state, long heartbeat, Optional<Run> successor) {
+    private static MemberRecord memberRecord(Run run, MemberState state, long heartbeat, Optional<Run> successor) {
         var domain = new FailureDomain("Bole");
         return new MemberRecord(
                 run, new Address("127.0.0.1", 1), domain, "default", state, heartbeat, ConfigVersion.NONE, successor);
     }
 
     private static MemberRecord live(String id, long incarnation, long heartbeat) {
-        return row(run(id, incarnation), MemberState.LIVE, heartbeat, Optional.empty());
+        return memberRecord(run(id, incarnation), MemberState.LIVE, heartbeat, Optional.empty());
     }
 
     private Membership table() {
         return new Membership(live("self", 1, 1), PeerTimings.standard(), timers);
     }
 
-    private static List<MemberRecord> content(Membership table) {
+    private static List<MemberRecord> allRecords(Membership table) {
         return table.changes(0, 0, 0, Membership.LOCAL - 1).records();
     }
 
@@ -71,32 +71,32 @@
                         Arbitraries.of(MemberState.values()),
                         Arbitraries.longs().between(0, 5),
                         runs.optional())
-                .as(MembershipTest::row)
+                .as(MembershipTest::memberRecord)
                 .list()
                 .ofMaxSize(12);
     }
 
-    /** Guards against members that keep different tables because gossip reached them in another order or twice. */
+    /** Guards against member tables that differ because gossip arrived in a different order or more than once. */
     @Property(seed = "11", tries = 300)
-    void mergeIsCommutativeAndIdempotent(@ForAll("rows") List<MemberRecord> rows, @ForAll long seed) {
+    void mergeIsCommutativeAndIdempotent(@ForAll("rows") List<MemberRecord> updates, @ForAll long seed) {
         Membership first = table();
-        rows.forEach(r -> first.merge(List.of(r), 1));
-        List<MemberRecord> shuffled = new ArrayList<>(rows);
-        shuffled.addAll(rows);
+        updates.forEach(r -> first.merge(List.of(r), 1));
+        List<MemberRecord> shuffled = new ArrayList<>(updates);
+        shuffled.addAll(updates);
         Collections.shuffle(shuffled, new Random(seed));
         Membership second = table();
         second.merge(shuffled, 2);
-        assertThat(content(second)).isEqualTo(content(first));
-        second.merge(content(first), 3);
-        assertThat(content(second)).isEqualTo(content(first));
+        assertThat(allRecords(second)).isEqualTo(allRecords(first));
+        second.merge(allRecords(first), 3);
+        assertThat(allRecords(second)).isEqualTo(allRecords(first));
     }
 
-    /** Guards against an old frame that brings a dead run back or makes a live member look silent. */
+    /** Guards against an old frame that restores an earlier run or lowers the heartbeat of a live member. */
     @Property(seed = "12", tries = 300)
-    void mergeNeverLowersIncarnationOrHeartbeat(@ForAll("rows") List<MemberRecord> rows) {
+    void mergeNeverLowersIncarnationOrHeartbeat(@ForAll("rows") List<MemberRecord> updates) {
         Membership table = table();
         Map<InstanceId, MemberRecord> before = new HashMap<>();
-        for (MemberRecord r : rows) {
+        for (MemberRecord r : updates) {
             table.merge(List.of(r), 1);
             MemberRecord now = table.latestRun(r.run().instance()).orElseThrow();
             MemberRecord old = before.put(now.run().instance(), now);
@@ -109,7 +109,10 @@
         }
     }
 
-    /** Guards against members that become suspect or gone too early, or are never reported as gone. */
+    /**
+     * Guards against members that become suspect or gone too early, are never reported as gone, or return from an old
+     * frame.
+     */
     @Test
     void silentMemberIsSuspectThenGoneThenForgottenForGood() {
         Membership table = table();
@@ -128,7 +131,7 @@
         assertThat(status(table, "a")).isEqualTo(Status.LIVE);
     }
 
-    /** Guards against a resumed process that takes its own pause for the silence of all others. */
+    /** Guards against a resumed process that suspects all other members because of its own pause. */
     @Test
     void pauseOfThisProcessMakesNobodySuspect() {
         Membership table = table();
@@ -146,14 +149,16 @@
         assertThat(status(table, "a")).isEqualTo(Status.SUSPECT);
     }
 
-    /** Guards against keys that are answered as unknown although their owner named a successor before it restarted. */
+    /**
+     * Guards against keys that are reported as unknown although their owner announced a successor before it restarted.
+     */
     @Test
     void successorOfAnEarlierRunIsRememberedForThirtyMinutes() {
         Membership table = table();
         table.merge(
                 List.of(
-                        row(run("a", 1), MemberState.LEFT, 9, Optional.of(run("b", 1))),
-                        row(run("b", 1), MemberState.LEFT, 9, Optional.of(run("c", 1))),
+                        memberRecord(run("a", 1), MemberState.LEFT, 9, Optional.of(run("b", 1))),
+                        memberRecord(run("b", 1), MemberState.LEFT, 9, Optional.of(run("c", 1))),
                         live("c", 1, 1),
                         live("a", 2, 1),
                         live("b", 2, 1)),
@@ -171,22 +176,24 @@
         assertThat(table.keyOwner(run("a", 1))).isEmpty();
     }
 
-    /** Guards against rows that only a full exchange would bring: a beat of an unknown row makes the member ask. */
+    /**
+     * Guards against records that are never received: the heartbeat of an unknown record must trigger a request for it.
+     */
     @Test
-    void unknownBeatIsAskedForOnce() {
+    void unknownHeartbeatIsRequestedOnce() {
         Membership table = table();
         Membership other = new Membership(live("other", 1, 1), PeerTimings.standard(), timers);
-        var beats = other.changes(other.serial(), 0, 0, 9).heartbeats();
-        var wanted = table.applyHeartbeats(beats, 0, 1);
+        var heartbeats = other.changes(other.serial(), 0, 0, 9).heartbeats();
+        var wanted = table.applyHeartbeats(heartbeats, 0, 1);
         assertThat(wanted).hasSize(1);
-        assertThat(table.applyHeartbeats(beats, 0, 2)).isEmpty();
+        assertThat(table.applyHeartbeats(heartbeats, 0, 2)).isEmpty();
         table.merge(other.recordsFor(wanted), 1);
         assertThat(status(table, "other")).isEqualTo(Status.LIVE);
     }
 
-    /** Guards against false suspects in a large fleet, where heartbeats are sent less often. */
+    /** Guards against false suspicion in a large fleet, where heartbeats are sent less often. */
     @Test
-    void suspectTimeoutIsAtLeastSixBeatPeriods() {
+    void suspectTimeoutIsAtLeastSixHeartbeatPeriods() {
         var t = PeerTimings.standard();
         for (int n : new int[] {1, 8, 64, 65, 128, 330, 1_000}) {
             assertThat(t.suspectTimeout(n))
--- a/core/src/test/java/org/verbenatally/peer/Network.java
+++ b/core/src/test/java/org/verbenatally/peer/Network.java
@@ -11,7 +11,7 @@
 import io.vertx.core.net.NetSocket;
 import org.verbenatally.core.Address;
 
-/** A network between peers in which connections can be refused, cut and silenced. One relay per dialling instance. */
+/** A network between peers in which connections can be refused and silenced. Each connection has its own relay. */
 final class Network {
     private final Vertx vertx;
     private final NetClient client;
@@ -43,7 +43,7 @@
             });
             a.closeHandler(v -> {
                 connections.remove(this);
-                // A silent connection does not even report its end.
+                // A silent connection does not report that it was closed either.
                 if (!silent) {
                     b.close();
                 }
@@ -75,7 +75,7 @@
         };
     }
 
-    /** Refuses new connections; existing ones turn silent. */
+    /** Refuses new connections and silences the existing ones. */
     void block(String from, Address to) {
         refused.add(from + ">" + to);
         silence(from, to);
@@ -85,7 +85,7 @@
         refused.remove(from + ">" + to);
     }
 
-    /** Silences the open connections; new ones work. Returns how many there were. */
+    /** Silences the open connections, but not later ones; returns the number of connections silenced. */
     long silence(String from, Address to) {
         return connections.keySet().stream()
                 .filter(c -> c.from.equals(from) && c.to.equals(to))
--- a/core/src/test/java/org/verbenatally/peer/PeersTest.java
+++ b/core/src/test/java/org/verbenatally/peer/PeersTest.java
@@ -36,75 +36,77 @@
         fleet.close();
     }
 
-    /** Guards against instances that stay alone, and against loads, leaving targets or suspects that do not arrive. */
+    /**
+     * Guards against instances that remain isolated, and against loads, leaving targets or suspects that do not arrive.
+     */
     @Test
     void membersFindEachOtherAndShareState() throws Exception {
-        fleet.of(8);
-        var one = fleet.node("e1");
-        one.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
-        one.ownLeaving = Set.of(new TargetId("engine-2"));
-        one.suspects.put(5L, new Suspect(1, 5, 2, 1, 60_000));
-        one.peers.push();
+        fleet.startMembers(8);
+        var reporter = fleet.node("e1");
+        reporter.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
+        reporter.ownLeaving = Set.of(new TargetId("engine-2"));
+        reporter.suspects.put(5L, new Suspect(1, 5, 2, 1, 60_000));
+        reporter.peers.push();
         Fleet.await(() -> fleet.nodes.values().stream()
-                .filter(n -> n != one)
-                .allMatch(n -> n.loads.getOrDefault(one.peers.self(), List.of()).stream()
+                .filter(n -> n != reporter)
+                .allMatch(n -> n.loads.getOrDefault(reporter.peers.self(), List.of()).stream()
                                 .anyMatch(l -> l.getTarget().equals("engine-1")
                                         && l.getRequests() == 3
                                         && l.getTokens() == 400)
-                        && one.ownLeaving.equals(n.leaving.get(one.peers.self()))
+                        && reporter.ownLeaving.equals(n.leaving.get(reporter.peers.self()))
                         && n.suspects.containsKey(5L)));
-        one.ownLeaving = Set.of();
-        Fleet.await(() -> fleet.node("e8").leaving.get(one.peers.self()).isEmpty());
+        reporter.ownLeaving = Set.of();
+        Fleet.await(() -> fleet.node("e8").leaving.get(reporter.peers.self()).isEmpty());
     }
 
-    /** Guards against lost members in a fleet that is too large for a link between any two. */
+    /** Guards against lost members in a fleet that is too large to be fully meshed. */
     @Test
     void largeFleetStaysConnectedWithFewLinks() throws Exception {
-        fleet.of(24);
+        fleet.startMembers(24);
         Fleet.await(() ->
                 fleet.nodes.values().stream().allMatch(n -> n.peers.stats().links() < 23));
         fleet.awaitAllLive();
     }
 
-    /** Guards against loads and published targets that only the neighbours of an instance hear of. */
+    /** Guards against loads and published targets that reach only the neighbours of an instance. */
     @Test
     void largeFleetKnowsAllLoadsAndTargets() throws Exception {
-        fleet.of(24);
+        fleet.startMembers(24);
         fleet.awaitAllLive();
-        var one = fleet.node("e1");
-        one.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
-        one.peers.loadsChanged();
-        one.peers.publish(List.of(new PublishedTarget("engine-1", 5)));
+        var reporter = fleet.node("e1");
+        reporter.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
+        reporter.peers.loadsChanged();
+        reporter.peers.publish(List.of(new PublishedTarget("engine-1", 5)));
         Fleet.await(() -> fleet.nodes.values().stream()
-                .filter(n -> n != one)
-                .allMatch(n -> n.loads.getOrDefault(one.peers.self(), List.of()).stream()
+                .filter(n -> n != reporter)
+                .allMatch(n -> n.loads.getOrDefault(reporter.peers.self(), List.of()).stream()
                                 .anyMatch(l -> l.getTokens() == 400)
                         && n.published.contains("engine-1")));
-        one.ownLoads = List.of();
-        one.peers.loadsChanged();
+        reporter.ownLoads = List.of();
+        reporter.peers.loadsChanged();
         Fleet.await(() -> fleet.nodes.values().stream()
-                .filter(n -> n != one)
-                .allMatch(n -> n.loads.get(one.peers.self()).isEmpty()));
+                .filter(n -> n != reporter)
+                .allMatch(n -> n.loads.get(reporter.peers.self()).isEmpty()));
     }
 
-    /** Guards against dead members that stay live, and against a restarted one that is taken for the dead one. */
+    /** Guards against a killed member that stays live, and against a restarted one that is taken for the killed run. */
     @Test
     void killedMemberIsSuspectThenGoneAndReturnsAsAnotherRun() throws Exception {
-        fleet.of(3);
+        fleet.startMembers(3);
         var dead = fleet.nodes.remove("e3");
         dead.peers.abort().get(30, TimeUnit.SECONDS);
         Fleet.await(
                 () -> fleet.nodes.values().stream().allMatch(n -> n.member("e3").status() == Status.SUSPECT));
         Fleet.await(() -> fleet.nodes.values().stream().allMatch(n -> n.gone.contains(dead.peers.self())));
-        var back = fleet.start("e3");
+        var restarted = fleet.start("e3");
         fleet.awaitAllLive();
-        assertThat(fleet.node("e1").member("e3").incarnation()).isEqualTo(back.peers.incarnation());
+        assertThat(fleet.node("e1").member("e3").incarnation()).isEqualTo(restarted.peers.incarnation());
     }
 
-    /** Guards against a member that leaves by itself and is waited for as if it had failed. */
+    /** Guards against a member that leaves gracefully and is detected only by timeout, as if it had failed. */
     @Test
     void leavingAndLeftAreKnownWithoutTimeout() throws Exception {
-        fleet.of(3);
+        fleet.startMembers(3);
         fleet.node("e3").peers.leave();
         Fleet.await(() -> fleet.node("e1").member("e3").status() == Status.LEAVING);
         fleet.nodes.remove("e3").peers.close().get(30, TimeUnit.SECONDS);
@@ -114,7 +116,7 @@
     /** Guards against calls that reach an instance that is not the owner of the key. */
     @Test
     void forwardsToOwnerOnly() throws Exception {
-        fleet.of(2);
+        fleet.startMembers(2);
         var owner = fleet.node("e2").peers;
         assertThat(forward("e1", owner.self(), owner.incarnation()).get(30, TimeUnit.SECONDS))
                 .satisfies(r -> assertThat(r.getCallId()).isEqualTo(42))
@@ -127,12 +129,12 @@
     /** Guards against keys that are lost when their owner and then its successor are replaced. */
     @Test
     void forwardsToKeySuccessorOfSuccessor() throws Exception {
-        fleet.of(3);
+        fleet.startMembers(3);
         var first = fleet.node("e1").peers;
-        handOver("e1", "e2");
-        handOver("e2", "e3");
+        transferKeysAndLeave("e1", "e2");
+        transferKeysAndLeave("e2", "e3");
         assertThat(fleet.node("e3").transfers).hasSize(2);
-        var four = fleet.start("e4");
+        var fourth = fleet.start("e4");
         fleet.start("e1");
         fleet.awaitAllLive();
         Fleet.await(() -> {
@@ -143,38 +145,38 @@
                 return false;
             }
         });
-        assertThat(four.peers.members()).hasSize(4);
+        assertThat(fourth.peers.members()).hasSize(4);
     }
 
     /**
-     * Guards against an unknown outcome at an instance that has just been replaced and has not heard yet who took its
-     * keys over (pair stop-entry+silence of the fault table, seed 90417).
+     * Guards against an unknown outcome at a restarted instance that has not yet received the record which names the
+     * successor of its keys (pair stop-entry+silence of the fault table, seed 90417).
      */
     @Test
-    void replacedOwnerWaitsForNewsOfItsSuccessor() throws Exception {
-        fleet.of(3);
+    void replacedOwnerWaitsForRecordOfItsSuccessor() throws Exception {
+        fleet.startMembers(3);
         var first = fleet.node("e1").peers;
-        handOver("e1", "e2");
+        transferKeysAndLeave("e1", "e2");
         fleet.start("e1");
         assertThat(text(forward("e1", first.self(), first.incarnation()).get(30, TimeUnit.SECONDS)))
                 .isEqualTo("e2 got key from e1");
     }
 
-    /** Guards against a call that waits for ever or is reported as not run when its owner is dead or slow. */
+    /** Guards against a call that waits for ever or is reported as not run if its owner is unreachable or slow. */
     @Test
     void unreachableOrSlowOwnerGivesUnknown() throws Exception {
-        fleet.of(2);
+        fleet.startMembers(2);
         var owner = fleet.node("e2");
-        owner.answerGate = new CompletableFuture<>();
+        owner.responseGate = new CompletableFuture<>();
         assertUnknown(forward("e1", owner.peers.self(), owner.peers.incarnation(), Duration.ofMillis(300)));
         fleet.nodes.remove("e2").peers.abort().get(30, TimeUnit.SECONDS);
         assertUnknown(forward("e1", owner.peers.self(), owner.peers.incarnation()));
     }
 
-    /** Guards against a call that is lost on a connection that went silent: it is sent again on another one. */
+    /** Guards against a call that is lost on a connection that went silent; it must be retried on another one. */
     @Test
     void forwardsAgainWhenTheLinkGoesSilent() throws Exception {
-        fleet.of(2);
+        fleet.startMembers(2);
         var owner = fleet.node("e2");
         var links = new String[][] {{"e1", "e2"}, {"e2", "e1"}};
         for (String[] l : links) {
@@ -185,14 +187,15 @@
                 .isEqualTo("e2 got key from e1");
     }
 
-    private void handOver(String from, String to) throws Exception {
-        var leaver = fleet.node(from).peers;
-        leaver.leave();
-        var part =
-                new KeyTransfer(from, leaver.incarnation().value(), ByteBuffer.allocate(32), 1_000, List.of(), false);
-        leaver.transferKeys(new InstanceId(to), List.of(part, part.deepCopy().setLast(true)), Duration.ofSeconds(30))
+    private void transferKeysAndLeave(String from, String to) throws Exception {
+        var predecessor = fleet.node(from).peers;
+        predecessor.leave();
+        var part = new KeyTransfer(
+                from, predecessor.incarnation().value(), ByteBuffer.allocate(32), 1_000, List.of(), false);
+        predecessor
+                .transferKeys(new InstanceId(to), List.of(part, part.deepCopy().setLast(true)), Duration.ofSeconds(30))
                 .get(30, TimeUnit.SECONDS);
-        leaver.announceKeySuccessor(new InstanceId(to));
+        predecessor.announceKeySuccessor(new InstanceId(to));
         Fleet.await(() -> fleet.nodes.values().stream()
                 .allMatch(n -> n.member(from).keySuccessor().equals(Optional.of(new InstanceId(to)))));
         fleet.nodes.remove(from).peers.close().get(30, TimeUnit.SECONDS);
--- a/core/src/test/java/org/verbenatally/peer/ReplicatedTableTest.java
+++ b/core/src/test/java/org/verbenatally/peer/ReplicatedTableTest.java
@@ -15,22 +15,24 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class ReplicatedTableTest {
-    /** A value whose text is that of its version, less the last digit; versions of one text say the same. */
+    /** A value whose content is its version without the last digit. */
     private record Value(String key, long version) {
-        boolean saysSame(Value other) {
+        boolean hasSameContent(Value other) {
             return version / 10 == other.version / 10;
         }
     }
 
     private static ReplicatedTable<String, Value> table() {
-        return new ReplicatedTable<>(Comparator.comparingLong(Value::version), Value::saysSame);
+        return new ReplicatedTable<>(Comparator.comparingLong(Value::version), Value::hasSameContent);
     }
 
-    /** Guards against tables that stay different, whichever rows are sent first and however small the frames are. */
+    /**
+     * Guards against tables that do not converge, in whichever order values are sent and however small the batches are.
+     */
     @Property(tries = 60, seed = "7")
     void tablesConvergeOverAnyConnectedNetwork(
             @ForAll @IntRange(min = 2, max = 12) int instances,
-            @ForAll @IntRange(min = 1, max = 5) int most,
+            @ForAll @IntRange(min = 1, max = 5) int maxValues,
             @ForAll @IntRange(min = 0, max = 1_000) int seed) {
         Random random = new Random(seed);
         List<ReplicatedTable<String, Value>> tables = new ArrayList<>();
@@ -46,21 +48,21 @@
                 long version = newest.merge(key, 1L + random.nextInt(9), Long::sum);
                 tables.get(from).put(key, new Value(key, version), ReplicatedTable.LOCAL);
             }
-            // A ring: link number "to + 1" at the sender, "from + 1" at the receiver.
-            send(tables, sent, from, (from + 1) % instances, most);
-            send(tables, sent, (from + 1) % instances, from, most);
+            // The network is a ring; the link number is "to + 1" at the sender and "from + 1" at the receiver.
+            send(tables, sent, from, (from + 1) % instances, maxValues);
+            send(tables, sent, (from + 1) % instances, from, maxValues);
         }
         for (int round = 0; round < 20 * instances; round++) {
             for (int i = 0; i < instances; i++) {
-                send(tables, sent, i, (i + 1) % instances, most);
-                send(tables, sent, (i + 1) % instances, i, most);
+                send(tables, sent, i, (i + 1) % instances, maxValues);
+                send(tables, sent, (i + 1) % instances, i, maxValues);
             }
         }
         for (ReplicatedTable<String, Value> table : tables) {
             newest.forEach((key, version) -> {
                 Value last = new Value(key, version);
                 assertThat(table.get(key))
-                        .hasValueSatisfying(v -> assertThat(v.saysSame(last))
+                        .hasValueSatisfying(v -> assertThat(v.hasSameContent(last))
                                 .as("%s and %s", v, last)
                                 .isTrue());
             });
@@ -68,20 +70,23 @@
     }
 
     private static void send(
-            List<ReplicatedTable<String, Value>> tables, Map<Integer, Long> sent, int from, int to, int most) {
+            List<ReplicatedTable<String, Value>> tables, Map<Integer, Long> sent, int from, int to, int maxValues) {
         int link = from * 100 + to;
         long since = sent.getOrDefault(link, 0L);
-        var batch = tables.get(from).changes(since, to + 1, most);
+        var batch = tables.get(from).changes(since, to + 1, maxValues);
         assertThat(tables.get(from).hasChanges(since, to + 1))
                 .isEqualTo(!batch.values().isEmpty());
-        assertThat(batch.values()).hasSizeLessThanOrEqualTo(most);
+        assertThat(batch.values()).hasSizeLessThanOrEqualTo(maxValues);
         batch.values().forEach(value -> tables.get(to).put(value.key(), value, from + 1));
         sent.put(link, batch.serial());
     }
 
-    /** Guards against rows that go back and forth on the link that they came by, and against old values. */
+    /**
+     * Guards against values that are sent back on the link they arrived on, and against old values that replace newer
+     * ones.
+     */
     @Test
-    void rowsAreNotSentBackNorReplacedByOlderOnes() {
+    void valuesAreNotSentBackNorReplacedByOlderOnes() {
         var table = table();
         assertThat(table.put("a", new Value("a", 20), 5)).isTrue();
         assertThat(table.put("a", new Value("a", 20), 6)).isFalse();
@@ -94,9 +99,9 @@
         assertThat(table.get("a")).contains(new Value("a", 20));
     }
 
-    /** Guards against instances that pass on each heartbeat, and correct each other, for ever. */
+    /** Guards against instances that pass on every heartbeat, or correct each other for ever. */
     @Test
-    void newerVersionsThatSayTheSameAreNotPassedOn() {
+    void newerVersionsWithSameContentAreNotPassedOn() {
         var table = table();
         table.put("a", new Value("a", 20), 5);
         long sent = table.changes(0, 6, 10).serial();
@@ -106,7 +111,7 @@
         assertThat(table.get("a")).contains(new Value("a", 25));
     }
 
-    /** Guards against a sender that is left with an old value. */
+    /** Guards against a sender that keeps an old value. */
     @Test
     void senderOfOldValueIsCorrected() {
         var table = table();
--- a/core/src/test/java/org/verbenatally/peer/ScriptedPeer.java
+++ b/core/src/test/java/org/verbenatally/peer/ScriptedPeer.java
@@ -23,7 +23,7 @@
 import org.verbenatally.wire.MemberState;
 import org.verbenatally.wire.PeerFrame;
 
-/** A peer that sends the frames that a test states, and answers requests for its deployment document. */
+/** A peer that sends the frames chosen by a test and responds to requests for its deployment document. */
 final class ScriptedPeer implements AutoCloseable {
     private final Vertx vertx;
     private final String id;
@@ -32,7 +32,7 @@
     private final NetServer server;
     private final CompletableFuture<Consumer<Connection>> script = new CompletableFuture<>();
 
-    /** A connection on which this peer has said its hello. */
+    /** A connection on which this peer has sent its hello. */
     final class Connection {
         private final NetSocket socket;
 
@@ -74,10 +74,10 @@
             }
         }
 
-        /** Sends the row of this peer and the version of its document. */
-        void tellVersion() {
+        /** Sends the member record of this peer and the version of its document. */
+        void sendVersion() {
             var run = new MemberRecord.Run(new InstanceId(id), new Incarnation(1));
-            var row = new MemberRecord(
+            var ownRecord = new MemberRecord(
                     run,
                     address(),
                     new FailureDomain("Bole"),
@@ -87,7 +87,7 @@
                     new ConfigVersion(version),
                     Optional.empty());
             var gossip = new Gossip(
-                    List.of(row.toWire()),
+                    List.of(ownRecord.toWire()),
                     List.of(),
                     List.of(),
                     List.of(),
@@ -118,7 +118,7 @@
         return new Address("127.0.0.1", server.actualPort());
     }
 
-    /** States what is done with each connection that another instance opens, those that wait for it included. */
+    /** Sets the action for each connection that another instance opens, including those already waiting for it. */
     void onConnection(Consumer<Connection> action) {
         script.complete(action);
     }
