--- a/core/src/main/java/org/verbenatally/peer/ConfigPropagator.java
+++ b/core/src/main/java/org/verbenatally/peer/ConfigPropagator.java
@@ -70,6 +70,7 @@
     /** The previous document, as the base of deltas for peers that still have it. Only its bytes, to save memory. */
     private record BaseDocument(byte[] digest, byte[] body) {}
 
+    /** A document requested on a link, and the time in nanoseconds at which the request expires. */
     private record Fetch(Link link, long until) {}
 
     private static final class BoundedMap extends LinkedHashMap<String, Boolean> {
--- a/core/src/main/java/org/verbenatally/peer/Links.java
+++ b/core/src/main/java/org/verbenatally/peer/Links.java
@@ -76,7 +76,7 @@
     private final Set<Address> ownAddresses = ConcurrentHashMap.newKeySet();
     private final Traffic traffic = new Traffic(new AtomicLong(), new AtomicLong(), new AtomicLong());
     private long nextRenewal;
-    private long nextUnreachableDial;
+    private long nextUnconfirmedDial;
     private volatile boolean closing;
 
     /** Opens connections; tests replace it to simulate network faults. */
@@ -85,6 +85,7 @@
         Future<NetSocket> connect(Address address);
     }
 
+    /** No dialling before {@code until}, in nanoseconds of the timer service; the wait was this many gossip periods. */
     private record Backoff(long until, int periods) {}
 
     Links(
@@ -107,7 +108,7 @@
         seeds = options.seeds();
         hints.addAll(seeds);
         nextRenewal = timers.nanos();
-        nextUnreachableDial = timers.nanos();
+        nextUnconfirmedDial = timers.nanos();
     }
 
     Traffic traffic() {
@@ -319,20 +320,20 @@
                 missing.put(m.address(), m);
             }
         }
-        List<Address> unreachable = new ArrayList<>(hints);
-        unreachable.addAll(membership.forgottenAddresses());
-        unreachable.removeAll(memberAddresses);
+        List<Address> unconfirmed = new ArrayList<>(hints);
+        unconfirmed.addAll(membership.forgottenAddresses());
+        unconfirmed.removeAll(memberAddresses);
         missing.values().stream()
                 .filter(m -> m.status() == Status.GONE)
                 .map(MemberInfo::address)
-                .forEach(unreachable::add);
+                .forEach(unconfirmed::add);
         missing.values().removeIf(m -> m.status() == Status.GONE);
         if (size <= FULL_MESH_MEMBERS) {
             missing.keySet().forEach(this::dialIfDue);
-            unreachable.forEach(this::dialIfDue);
+            unconfirmed.forEach(this::dialIfDue);
         } else {
             dialNeighbours(now, linked, missing.values());
-            dialOneUnreachable(now, unreachable);
+            dialOneUnconfirmed(now, unconfirmed);
         }
     }
 
@@ -342,15 +343,17 @@
         }
     }
 
-    /** In a large fleet, dials one unreachable address in each longest backoff period, so that partitions heal. */
-    private void dialOneUnreachable(long now, List<Address> unreachable) {
-        if (!unreachable.isEmpty() && now - nextUnreachableDial >= 0) {
-            nextUnreachableDial = now
+    /**
+     * In a large fleet, dials one address without a live member per longest backoff period, so that partitions heal.
+     */
+    private void dialOneUnconfirmed(long now, List<Address> unconfirmed) {
+        if (!unconfirmed.isEmpty() && now - nextUnconfirmedDial >= 0) {
+            nextUnconfirmedDial = now
                     + options.timings()
                             .gossip()
                             .multipliedBy(MAX_BACKOFF_PERIODS)
                             .toNanos();
-            dialIfDue(unreachable.get(random.nextInt(unreachable.size())));
+            dialIfDue(unconfirmed.get(random.nextInt(unconfirmed.size())));
         }
     }
 
--- a/core/src/main/java/org/verbenatally/peer/Membership.java
+++ b/core/src/main/java/org/verbenatally/peer/Membership.java
@@ -60,6 +60,10 @@
     private long goneNanos;
     private boolean duplicateIdSeen;
 
+    /**
+     * A run with the time at which its heartbeat last advanced, in nanoseconds of the timer service, and for its state
+     * and its heartbeat the serial number and the source link of the last change.
+     */
     private static final class TrackedRun {
         private MemberRecord member;
         private int hash;
@@ -71,6 +75,7 @@
         private boolean gone;
     }
 
+    /** A forgotten run: its last heartbeat, the time in nanoseconds at which the tombstone expires, and its address. */
     private record Tombstone(long heartbeat, long until, Address address) {}
 
     /**
@@ -192,7 +197,12 @@
         latestRuns.remove(tracked.member.run().instance(), tracked);
     }
 
-    /** Applies heartbeats and returns the hashes of unknown records, which the peer is to be asked for. */
+    /**
+     * Applies heartbeats and returns the hashes of unknown records, which the peer is to be asked for.
+     *
+     * @param frameVersion configuration version of the frame, to which the versions of the members are relative
+     * @throws IllegalArgumentException if the lists of heartbeats differ in length
+     */
     synchronized List<Integer> applyHeartbeats(Beats heartbeats, long frameVersion, int sourceLink) {
         checkPause();
         int n = heartbeats.getRowsSize();
@@ -236,7 +246,11 @@
                 .toList();
     }
 
-    /** Returns what has changed since the given serials, except for changes that arrived on that link. */
+    /**
+     * Returns what has changed since the given serials, except for changes that arrived on that link.
+     *
+     * @param frameVersion configuration version of the frame, to which the versions of the members are relative
+     */
     synchronized Changes changes(long sinceState, long sinceHeartbeat, long frameVersion, int link) {
         checkPause();
         List<MemberRecord> changed = new ArrayList<>();
