--- a/ctl/src/main/java/org/verbenatally/ctl/BurnCommand.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/BurnCommand.java
@@ -8,7 +8,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 
-/** Reports how fast the error budget of the service levels is used up. */
+/** Reports the burn rate of the error budget of the service levels. */
 final class BurnCommand implements Command {
 
     @Override
@@ -24,12 +24,12 @@
     @Override
     public String usage() {
         return "[--json] [--html FILE] HOST:PORT...\nexample: verbenatally-ctl burn 127.0.0.1:9001 127.0.0.1:9002\n"
-                + "Exits with 1 if a kind burns its budget fast or an entry gave no answer.";
+                + "Exits with 1 if a kind raises a burn-rate alarm or an entry cannot be queried.";
     }
 
     @Override
     public Options options() {
-        return Entries.options("print the reports of the entries as one JSON array")
+        return EntryResponses.options("print the reports of the entries as one JSON array")
                 .addOption(Option.builder()
                         .longOpt("html")
                         .hasArg()
@@ -40,8 +40,8 @@
 
     @Override
     public int run(CommandLine line, Console console) throws UsageException, IOException {
-        Entries entries = Entries.ask(line.getArgList(), "/operator/burn");
-        BurnReport report = BurnReport.of(entries.answers(), entries.silent());
+        EntryResponses entries = EntryResponses.query(line.getArgList(), "/operator/burn");
+        BurnReport report = BurnReport.of(entries.responses(), entries.failures());
         if (line.hasOption("json")) {
             entries.printJson(console);
         } else {
@@ -51,7 +51,7 @@
             Files.writeString(Path.of(line.getOptionValue("html")), report.html());
             console.err().println("wrote " + line.getOptionValue("html"));
         }
-        entries.printSilent(console);
+        entries.printFailures(console);
         return report.needsAttention() ? ExitStatus.REFUSED : ExitStatus.OK;
     }
 }
--- a/ctl/src/main/java/org/verbenatally/ctl/BurnReport.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/BurnReport.java
@@ -9,56 +9,62 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The use of the error budget, summed over the entries that answered. Counts live in the memory of each entry, so the
- * report says how long each of them has counted and which gave no answer.
+ * Use of the error budget, summed over the entries that responded. Each entry keeps its counts in memory only, so the
+ * report states how long each entry has been counting and which entries could not be queried.
  *
- * @param objective share of requests that must meet the service levels
- * @param kinds rows by kind and window
- * @param organisations rows of the last hour, those that missed most first
- * @param sources one line for each entry
- * @param silent one line for each entry that gave no answer
+ * @param objective fraction of requests that must meet the service levels
+ * @param kinds one row for each kind and window, sorted by both
+ * @param organisations one row for each organisation over the last hour, most missed requests first
+ * @param sources one line for each entry that responded
+ * @param failures one line with address and reason for each entry that could not be queried
  */
 record BurnReport(
-        double objective, List<Row> kinds, List<Row> organisations, List<String> sources, List<String> silent) {
+        double objective, List<Row> kinds, List<Row> organisations, List<String> sources, List<String> failures) {
     private static final double DEFAULT_OBJECTIVE = 0.95;
     private static final int BUDGET_DAYS = 30;
-    /** A rate at which 2% of a 30-day budget is gone within an hour; the usual threshold to page somebody. */
-    private static final double FAST = 14.4;
-    /** A rate at which 5% of a 30-day budget is gone within six hours; the usual threshold of a ticket. */
-    private static final double SLOW = 6;
+    /** Burn rate that uses up 2% of a 30-day budget within one hour; the usual threshold for paging. */
+    private static final double FAST_BURN_RATE = 14.4;
+    /** Burn rate that uses up 5% of a 30-day budget within six hours; the usual threshold for a ticket. */
+    private static final double SLOW_BURN_RATE = 6;
 
+    /** Keys of the counts of missed requests, in the order of {@link Row#missedByCause}. */
     private static final String[] CAUSES = {"late", "stalled", "refused", "lost"};
 
     /**
      * Counts of one kind or organisation in one window.
      *
      * @param name kind or organisation
-     * @param minutes length of the window
-     * @param requests counted requests
-     * @param causes missed requests by cause: late, stalled, refused, lost
-     * @param rate burn rate; 1 uses up the budget in exactly 30 days
+     * @param minutes length of the window in minutes
+     * @param requests number of requests in the window
+     * @param missedByCause requests that missed the service levels, by cause: late, stalled, refused, lost
+     * @param burnRate burn rate; 1 uses up the budget in exactly 30 days
      */
-    record Row(String name, int minutes, long requests, long[] causes, double rate) {
+    record Row(String name, int minutes, long requests, long[] missedByCause, double burnRate) {
         long missed() {
             long sum = 0;
-            for (long cause : causes) {
-                sum += cause;
+            for (long count : missedByCause) {
+                sum += count;
             }
             return sum;
         }
 
-        /** Returns how long a full budget lasts at this rate. */
-        String exhaustion() {
-            if (rate <= 1) {
+        /** Returns how long a full budget lasts at this rate, in days or hours; {@code -} at rates up to 1. */
+        String timeToExhaustion() {
+            if (burnRate <= 1) {
                 return "-";
             }
-            double hours = BUDGET_DAYS * 24 / rate;
+            double hours = BUDGET_DAYS * 24 / burnRate;
             return hours >= 48 ? "%.0f days".formatted(hours / 24) : "%.1f hours".formatted(hours);
         }
     }
 
-    /** Sums the reports of the entries. */
-    static BurnReport of(List<JsonNode> reports, List<String> silent) {
+    /**
+     * Sums the reports of the entries.
+     *
+     * @param reports responses of the entries to {@code /operator/burn}
+     * @param failures one line with address and reason for each entry that could not be queried
+     */
+    static BurnReport of(List<JsonNode> reports, List<String> failures) {
         double objective = reports.stream()
                 .mapToDouble(report -> report.path("objective").asDouble(DEFAULT_OBJECTIVE))
                 .max()
@@ -75,48 +81,52 @@
                     .forEach(kind -> kind.path("windows").forEach(window -> {
                         int minutes = window.path("minutes").asInt();
                         String name = kind.path("kind").asText();
-                        add(kinds, "%s %03d".formatted(name, minutes), name, minutes, window, objective);
+                        addCounts(kinds, "%s %03d".formatted(name, minutes), name, minutes, window, objective);
                     }));
             report.path("organisations").forEach(organisation -> {
                 String name = organisation.path("organisation").asText();
-                add(organisations, name, name, 60, organisation, objective);
+                addCounts(organisations, name, name, 60, organisation, objective);
             });
         }
-        List<Row> worst = organisations.values().stream()
+        List<Row> mostMissedFirst = organisations.values().stream()
                 .sorted(Comparator.comparingLong(Row::missed).reversed())
                 .toList();
-        return new BurnReport(objective, List.copyOf(kinds.values()), worst, sources, silent);
+        return new BurnReport(objective, List.copyOf(kinds.values()), mostMissedFirst, sources, failures);
     }
 
-    private static void add(
+    private static void addCounts(
             Map<String, Row> rows, String key, String name, int minutes, JsonNode counts, double objective) {
-        long[] causes = new long[CAUSES.length];
-        for (int i = 0; i < causes.length; i++) {
-            causes[i] = counts.path(CAUSES[i]).asLong();
+        long[] missed = new long[CAUSES.length];
+        for (int i = 0; i < missed.length; i++) {
+            missed[i] = counts.path(CAUSES[i]).asLong();
         }
-        Row before = rows.get(key);
-        long requests = counts.path("requests").asLong() + (before == null ? 0 : before.requests());
-        for (int i = 0; before != null && i < causes.length; i++) {
-            causes[i] += before.causes()[i];
+        Row previous = rows.get(key);
+        long requests = counts.path("requests").asLong() + (previous == null ? 0 : previous.requests());
+        for (int i = 0; previous != null && i < missed.length; i++) {
+            missed[i] += previous.missedByCause()[i];
         }
-        Row sum = new Row(name, minutes, requests, causes, 0);
-        double rate = requests == 0 ? 0 : (double) sum.missed() / requests / (1 - objective);
-        rows.put(key, new Row(name, minutes, requests, causes, rate));
+        Row sum = new Row(name, minutes, requests, missed, 0);
+        double burnRate = requests == 0 ? 0 : (double) sum.missed() / requests / (1 - objective);
+        rows.put(key, new Row(name, minutes, requests, missed, burnRate));
     }
 
-    /** Tells whether a kind burns its budget fast in a short and a long window, or an entry gave no answer. */
+    /** Returns whether a kind raises an alarm or an entry could not be queried. */
     boolean needsAttention() {
-        return !silent.isEmpty() || kinds.stream().anyMatch(row -> !alarm(row).isEmpty());
+        return !failures.isEmpty() || kinds.stream().anyMatch(row -> !alarm(row).isEmpty());
     }
 
-    /** Returns the alarm that a row raises; both the 5-minute window and the longer one must burn. */
+    /**
+     * Returns the alarm of a row, empty if there is none. An alarm is raised only on a longer window, and only if both
+     * the row and the 5-minute window of the same kind reach {@link #SLOW_BURN_RATE}.
+     */
     private String alarm(Row row) {
-        boolean burnsNow = kinds.stream()
-                .anyMatch(other -> other.name().equals(row.name()) && other.minutes() == 5 && other.rate() >= SLOW);
-        if (row.minutes() == 5 || !burnsNow || row.rate() < SLOW) {
+        boolean burnsInShortWindow = kinds.stream()
+                .anyMatch(other ->
+                        other.name().equals(row.name()) && other.minutes() == 5 && other.burnRate() >= SLOW_BURN_RATE);
+        if (row.minutes() == 5 || !burnsInShortWindow || row.burnRate() < SLOW_BURN_RATE) {
             return "";
         }
-        return row.rate() >= FAST ? "FAST" : "SLOW";
+        return row.burnRate() >= FAST_BURN_RATE ? "FAST" : "SLOW";
     }
 
     /** Returns the report as text. */
@@ -124,33 +134,33 @@
         StringBuilder text =
                 new StringBuilder("objective %.1f%%, %d-day budget%n".formatted(objective * 100, BUDGET_DAYS));
         sources.forEach(line -> text.append("  ").append(line).append('\n'));
-        silent.forEach(line -> text.append("  missing: ").append(line).append('\n'));
+        failures.forEach(line -> text.append("  missing: ").append(line).append('\n'));
         text.append("%n%-20s %6s %9s %7s %8s %8s %6s %8s %12s %s%n"
                 .formatted("kind", "min", "requests", "late", "stalled", "refused", "lost", "burn", "lasts", "alarm"));
-        kinds.forEach(row -> text.append(line(row, alarm(row))));
+        kinds.forEach(row -> text.append(formatRow(row, alarm(row))));
         text.append("%n%-20s%n".formatted("organisation"));
-        organisations.forEach(row -> text.append(line(row, "")));
+        organisations.forEach(row -> text.append(formatRow(row, "")));
         return text.toString();
     }
 
-    private static String line(Row row, String alarm) {
+    private static String formatRow(Row row, String alarm) {
         return "%-20s %6d %9d %7d %8d %8d %6d %8.2f %12s %s"
                         .formatted(
                                 row.name(),
                                 row.minutes(),
                                 row.requests(),
-                                row.causes()[0],
-                                row.causes()[1],
-                                row.causes()[2],
-                                row.causes()[3],
-                                row.rate(),
-                                row.exhaustion(),
+                                row.missedByCause()[0],
+                                row.missedByCause()[1],
+                                row.missedByCause()[2],
+                                row.missedByCause()[3],
+                                row.burnRate(),
+                                row.timeToExhaustion(),
                                 alarm)
                         .stripTrailing()
                 + "\n";
     }
 
-    /** Returns the report as one HTML page without external parts. */
+    /** Returns the report as one self-contained HTML page. */
     String html() {
         StringBuilder page = new StringBuilder("""
                 <!DOCTYPE html>
@@ -164,28 +174,35 @@
         page.append("<p>Objective %.1f%%, %d-day budget. A burn rate of 1 uses up the budget exactly.</p><ul>"
                 .formatted(objective * 100, BUDGET_DAYS));
         sources.forEach(line -> page.append("<li>").append(escape(line)).append("</li>"));
-        silent.forEach(line -> page.append("<li>missing: ").append(escape(line)).append("</li>"));
+        failures.forEach(
+                line -> page.append("<li>missing: ").append(escape(line)).append("</li>"));
         page.append("</ul>");
-        table(page, "Kind", kinds);
-        table(page, "Organisation, last hour", organisations);
+        appendTable(page, "Kind", kinds);
+        appendTable(page, "Organisation, last hour", organisations);
         return page.append("</body></html>\n").toString();
     }
 
-    private void table(StringBuilder page, String title, List<Row> rows) {
+    private void appendTable(StringBuilder page, String title, List<Row> rows) {
         page.append("<table><tr><th>")
                 .append(title)
                 .append("</th><th>minutes</th><th>requests</th><th>late</th><th>stalled</th><th>refused</th>")
                 .append("<th>lost</th>")
                 .append("<th>burn rate</th><th>budget lasts</th><th></th></tr>\n");
         for (Row row : rows) {
-            String colour = row.rate() >= FAST ? "bar fast" : row.rate() >= SLOW ? "bar slow" : "bar";
+            String cssClass = row.burnRate() >= FAST_BURN_RATE
+                    ? "bar fast"
+                    : row.burnRate() >= SLOW_BURN_RATE ? "bar slow" : "bar";
             page.append("<tr><td>%s</td><td>%d</td><td>%d</td>"
                     .formatted(escape(row.name()), row.minutes(), row.requests()));
-            for (long cause : row.causes()) {
-                page.append("<td>%d</td>".formatted(cause));
+            for (long count : row.missedByCause()) {
+                page.append("<td>%d</td>".formatted(count));
             }
             page.append("<td>%.2f</td><td>%s</td><td class=\"left\"><span class=\"%s\" style=\"width:%.0fpx\">"
-                            .formatted(row.rate(), row.exhaustion(), colour, Math.min(200, row.rate() * 10)))
+                            .formatted(
+                                    row.burnRate(),
+                                    row.timeToExhaustion(),
+                                    cssClass,
+                                    Math.min(200, row.burnRate() * 10)))
                     .append("</span></td></tr>\n");
         }
         page.append("</table>\n");
--- a/ctl/src/main/java/org/verbenatally/ctl/Command.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/Command.java
@@ -9,21 +9,23 @@
 /** One subcommand of {@code verbenatally-ctl}. */
 interface Command {
 
-    /** Returns its name on the command line. */
+    /** Returns the name of the subcommand on the command line. */
     String name();
 
-    /** Returns one line on what it does. */
+    /** Returns a one-line description for the help. */
     String summary();
 
-    /** Returns its arguments and an example, as the help shows them. */
+    /** Returns the arguments and an example, as shown in the help of the command. */
     String usage();
 
-    /** Returns its options, without those that all commands share. */
+    /** Returns the options of the command, without those that all commands share. */
     Options options();
 
     /**
      * Runs the command.
      *
+     * @param line parsed options and arguments
+     * @param console streams to read from and to write to
      * @return the exit status
      * @throws UsageException if the arguments are wrong
      * @throws ConfigException if a document is not accepted
--- a/ctl/src/main/java/org/verbenatally/ctl/Console.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/Console.java
@@ -4,9 +4,9 @@
 import java.io.PrintStream;
 
 /**
- * Where a command reads and writes.
+ * Streams of a command.
  *
- * @param in answers of the operator
+ * @param in input of the operator, or log lines
  * @param out results
  * @param err prompts, progress and errors
  */
--- a/ctl/src/main/java/org/verbenatally/ctl/CtlMain.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/CtlMain.java
@@ -28,14 +28,14 @@
 
     private CtlMain() {}
 
-    /** Runs the command and exits with its status. */
+    /** Runs the subcommand and exits with its status. */
     public static void main(String[] args) {
         Console console = new Console(
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8)), System.out, System.err);
         System.exit(run(args, console));
     }
 
-    /** Runs the command and returns its exit status. */
+    /** Runs the subcommand that the first argument names and returns its exit status. */
     static int run(String[] args, Console console) {
         if (args.length == 0 || args[0].equals("--help") || args[0].equals("-h")) {
             console.out().print(help());
--- a/ctl/src/main/java/org/verbenatally/ctl/Entries.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/EntryResponses.java
@@ -22,45 +22,48 @@
 import org.verbenatally.core.Address;
 
 /**
- * Answers of the operator endpoints of several entries.
+ * Responses of the operator endpoints of several entries.
  *
- * @param answers one answer for each entry that gave one
- * @param silent one line for each entry that gave none
+ * @param responses JSON body of each entry that responded with status 200
+ * @param failures one line with address and reason for each entry that could not be queried
  */
-record Entries(List<JsonNode> answers, List<String> silent) {
+record EntryResponses(List<JsonNode> responses, List<String> failures) {
     private static final int TIMEOUT_MS = 3_000;
     private static final int HTTP_OK = 200;
     private static final int NOT_FOUND = 404;
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
-    /** Returns the options that all commands share which ask entries. */
+    /** Returns the options shared by all commands that query entries. */
     static Options options(String jsonDescription) {
         return new Options()
                 .addOption(
                         Option.builder().longOpt("json").desc(jsonDescription).get());
     }
 
-    /** Asks each address for a path; an entry that answers with 404 is left out of both lists. */
-    static Entries ask(List<String> addresses, String path) throws UsageException {
+    /**
+     * Requests a path from each address, one after the other. An entry that responds with status 404 is left out of
+     * both lists.
+     */
+    static EntryResponses query(List<String> addresses, String path) throws UsageException {
         if (addresses.isEmpty()) {
             throw new UsageException("needs the operator address of at least one entry");
         }
         List<Address> parsed = parse(addresses);
-        Entries entries = new Entries(new ArrayList<>(), new ArrayList<>());
+        EntryResponses result = new EntryResponses(new ArrayList<>(), new ArrayList<>());
         Vertx vertx = Vertx.vertx();
         try {
             HttpClient client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(TIMEOUT_MS));
             for (Address address : parsed) {
                 try {
-                    fetch(client, address, path).ifPresent(entries.answers::add);
+                    fetch(client, address, path).ifPresent(result.responses::add);
                 } catch (IOException e) {
-                    entries.silent.add(address + ": " + e.getMessage());
+                    result.failures.add(address + ": " + e.getMessage());
                 }
             }
         } finally {
             vertx.close();
         }
-        return entries;
+        return result;
     }
 
     private static List<Address> parse(List<String> texts) throws UsageException {
@@ -72,7 +75,7 @@
     }
 
     private static Optional<JsonNode> fetch(HttpClient client, Address address, String path) throws IOException {
-        Future<Optional<Buffer>> answer = client.request(HttpMethod.GET, address.port(), address.host(), path)
+        Future<Optional<Buffer>> bodyOrEmpty = client.request(HttpMethod.GET, address.port(), address.host(), path)
                 .compose(HttpClientRequest::send)
                 .compose(response -> switch (response.statusCode()) {
                     case HTTP_OK -> response.body().map(Optional::of);
@@ -81,27 +84,27 @@
                 });
         try {
             Optional<Buffer> body =
-                    answer.toCompletionStage().toCompletableFuture().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+                    bodyOrEmpty.toCompletionStage().toCompletableFuture().get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
             return body.isEmpty()
                     ? Optional.empty()
                     : Optional.of(MAPPER.readTree(body.get().getBytes()));
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().getMessage(), e);
         } catch (TimeoutException e) {
-            throw new IOException("no answer within " + TIMEOUT_MS + " ms", e);
+            throw new IOException("no response within " + TIMEOUT_MS + " ms", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
         }
     }
 
-    /** Prints the entries that gave no answer. */
-    void printSilent(Console console) {
-        silent.forEach(text -> console.err().println("no answer from " + text));
+    /** Prints each entry that could not be queried, with the reason. */
+    void printFailures(Console console) {
+        failures.forEach(failure -> console.err().println("cannot query " + failure));
     }
 
-    /** Prints the answers as one JSON array. */
+    /** Prints the responses as one JSON array. */
     void printJson(Console console) throws IOException {
-        console.out().println(MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(answers));
+        console.out().println(MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(responses));
     }
 }
--- a/ctl/src/main/java/org/verbenatally/ctl/ExplainCommand.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/ExplainCommand.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.Option;
 import org.apache.commons.cli.Options;
 
-/** Shows what happened to a request, from the log files of instances or from the entries that saw it. */
+/** Shows what happened to a request, read from log files of instances or from the traces that entries keep. */
 final class ExplainCommand implements Command {
 
     @Override
@@ -30,13 +30,13 @@
                 + "example: verbenatally-ctl explain --logs 7f3c bole-1.log bole-2.log\n"
                 + "         cat *.log | verbenatally-ctl explain --logs 7f3c -\n"
                 + "         verbenatally-ctl explain 7f3c 127.0.0.1:9001 127.0.0.1:9002\n"
-                + "With --logs, lines marked * say what was found out about targets and configuration meanwhile.\n"
+                + "With --logs, lines marked * are events of the targets and instances of the request at that time.\n"
                 + "Entries remember recent requests only. Exits with 1 if the request is not known.";
     }
 
     @Override
     public Options options() {
-        return Entries.options("print one JSON array")
+        return EntryResponses.options("print one JSON array")
                 .addOption(Option.builder()
                         .longOpt("logs")
                         .desc("read log files, or standard input (-), instead of asking entries")
@@ -53,17 +53,18 @@
             return explainLogs(arguments.getFirst(), arguments.subList(1, arguments.size()), console);
         }
         String id = URLEncoder.encode(arguments.getFirst(), StandardCharsets.UTF_8);
-        Entries entries = Entries.ask(arguments.subList(1, arguments.size()), "/operator/explain/" + id);
+        EntryResponses entries =
+                EntryResponses.query(arguments.subList(1, arguments.size()), "/operator/explain/" + id);
         if (line.hasOption("json")) {
             entries.printJson(console);
         } else {
-            entries.answers().forEach(trace -> print(console, trace));
+            entries.responses().forEach(trace -> print(console, trace));
         }
-        entries.printSilent(console);
-        if (entries.answers().isEmpty()) {
+        entries.printFailures(console);
+        if (entries.responses().isEmpty()) {
             console.err().println("no entry remembers request " + arguments.getFirst());
         }
-        return entries.answers().isEmpty() ? ExitStatus.REFUSED : ExitStatus.OK;
+        return entries.responses().isEmpty() ? ExitStatus.REFUSED : ExitStatus.OK;
     }
 
     private static int explainLogs(String request, List<String> files, Console console)
--- a/ctl/src/main/java/org/verbenatally/ctl/StatusCommand.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/StatusCommand.java
@@ -10,7 +10,7 @@
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.Options;
 
-/** Shows the state of the entry instances and where they disagree. */
+/** Shows the state of each entry and reports entries that run different configuration versions. */
 final class StatusCommand implements Command {
     @Override
     public String name() {
@@ -30,25 +30,26 @@
 
     @Override
     public Options options() {
-        return Entries.options("print one JSON array");
+        return EntryResponses.options("print one JSON array");
     }
 
     @Override
     public int run(CommandLine line, Console console) throws UsageException, IOException {
-        Entries entries = Entries.ask(line.getArgList(), "/operator/status");
+        EntryResponses entries = EntryResponses.query(line.getArgList(), "/operator/status");
         if (line.hasOption("json")) {
             entries.printJson(console);
         } else {
-            entries.answers().forEach(report -> print(console, report));
+            entries.responses().forEach(report -> print(console, report));
         }
-        entries.printSilent(console);
-        Set<String> versions = new TreeSet<>();
-        entries.answers()
-                .forEach(report -> versions.add(report.path("configVersion").asText("none")));
-        if (versions.size() > 1) {
-            console.err().println("entries disagree on the configuration version: " + versions);
+        entries.printFailures(console);
+        Set<String> configVersions = new TreeSet<>();
+        entries.responses()
+                .forEach(report ->
+                        configVersions.add(report.path("configVersion").asText("none")));
+        if (configVersions.size() > 1) {
+            console.err().println("entries disagree on the configuration version: " + configVersions);
         }
-        return entries.silent().isEmpty() && versions.size() <= 1 ? ExitStatus.OK : ExitStatus.REFUSED;
+        return entries.failures().isEmpty() && configVersions.size() <= 1 ? ExitStatus.OK : ExitStatus.REFUSED;
     }
 
     private static void print(Console console, JsonNode report) {
@@ -59,19 +60,19 @@
                         report.path("ready").asText("?"),
                         report.path("configVersion").asText("?"),
                         report.path("members").size());
-        report.path("members").forEach(member -> console.out().println("  member " + compact(member)));
-        report.path("targets").forEach(target -> console.out().println("  target " + compact(target)));
+        report.path("members").forEach(member -> console.out().println("  member " + format(member)));
+        report.path("targets").forEach(target -> console.out().println("  target " + format(target)));
     }
 
-    /** Returns the members of an object as {@code name=value} pairs. */
-    private static String compact(JsonNode node) {
+    /** Returns the fields of an object as {@code name=value} pairs, and any other node as text. */
+    private static String format(JsonNode node) {
         if (!node.isObject()) {
             return node.asText();
         }
-        List<String> parts = new ArrayList<>();
+        List<String> pairs = new ArrayList<>();
         node.properties()
-                .forEach(entry ->
-                        parts.add(entry.getKey() + "=" + entry.getValue().asText()));
-        return String.join(" ", parts);
+                .forEach(field ->
+                        pairs.add(field.getKey() + "=" + field.getValue().asText()));
+        return String.join(" ", pairs);
     }
 }
--- a/ctl/src/main/java/org/verbenatally/ctl/UsageException.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/UsageException.java
@@ -1,6 +1,6 @@
 package org.verbenatally.ctl;
 
-/** Wrong arguments on the command line; the message says what was expected. */
+/** Thrown for invalid command line arguments; the message states what was expected. */
 final class UsageException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/ctl/src/main/java/org/verbenatally/ctl/package-info.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's command: {@link org.verbenatally.ctl.CtlMain} picks a subcommand by its name. */
+/** Command line tool of the operator; {@link org.verbenatally.ctl.CtlMain} selects the subcommand by name. */
 package org.verbenatally.ctl;
