--- a/ctl/src/main/java/org/verbenatally/ctl/CheckCommand.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/CheckCommand.java
@@ -22,7 +22,7 @@
 
     @Override
     public String summary() {
-        return "Checks a deployment document or entry settings and lists every fault with its place.";
+        return "Checks a deployment document or entry settings and lists every fault with its location.";
     }
 
     @Override
@@ -35,7 +35,7 @@
         return new Options()
                 .addOption(Option.builder()
                         .longOpt("settings")
-                        .desc("the file holds entry settings")
+                        .desc("FILE contains entry settings")
                         .get());
     }
 
--- a/ctl/src/main/java/org/verbenatally/ctl/DeploymentDiff.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/DeploymentDiff.java
@@ -18,16 +18,16 @@
 import org.verbenatally.core.ModelName;
 
 /**
- * The difference between two deployments, in sentences.
+ * The differences between two deployments, as sentences for the operator.
  *
- * @param changes what the new document does
- * @param warnings changes that hurt callers
+ * @param changes changes that the new document makes
+ * @param warnings changes that can harm callers
  */
 record DeploymentDiff(List<String> changes, List<String> warnings) {
-    /** A share or a concurrency that falls to this part of its old value is worth a warning. */
-    private static final double HALVED = 0.5;
+    /** A share or a concurrency limit that falls to this fraction of its old value, or below, causes a warning. */
+    private static final double WARNING_FRACTION = 0.5;
 
-    /** Compares two deployments. */
+    /** Compares an old deployment with a new one. */
     static DeploymentDiff between(Deployment before, Deployment after) {
         DeploymentDiff diff = new DeploymentDiff(new ArrayList<>(), new ArrayList<>());
         diff.compareVersions(before, after);
@@ -35,7 +35,7 @@
         diff.compareModels(before, after);
         diff.compareKinds(before, after);
         diff.compareOrganisations(before, after);
-        diff.compareWhole(before, after);
+        diff.compareDeploymentSettings(before, after);
         return diff;
     }
 
@@ -50,54 +50,55 @@
     }
 
     private void compareTargets(Deployment before, Deployment after) {
-        added(before.targets(), after.targets()).forEach(id -> changes.add("target " + id + " is added"));
+        addedKeys(before.targets(), after.targets()).forEach(id -> changes.add("target " + id + " is added"));
         for (Target old : before.targets().values()) {
-            Target now = after.targets().get(old.id());
-            if (now == null) {
+            Target updated = after.targets().get(old.id());
+            if (updated == null) {
                 changes.add("target " + old.id() + " is removed");
                 if (!old.leaving()) {
                     warnings.add(
                             "target %s is removed without having been marked as leaving first".formatted(old.id()));
                 }
-            } else if (!now.equals(old)) {
-                compareTarget(old, now);
+            } else if (!updated.equals(old)) {
+                compareTarget(old, updated);
             }
         }
     }
 
-    private void compareTarget(Target old, Target now) {
-        String name = "target " + old.id() + ": ";
-        if (!old.address().equals(now.address())) {
-            changes.add(name + "address changes from %s to %s".formatted(old.address(), now.address()));
+    private void compareTarget(Target old, Target updated) {
+        String prefix = "target " + old.id() + ": ";
+        if (!old.address().equals(updated.address())) {
+            changes.add(prefix + "address changes from %s to %s".formatted(old.address(), updated.address()));
         }
-        if (!old.models().equals(now.models())) {
-            changes.add(name + "models change from %s to %s".formatted(models(old), models(now)));
+        if (!old.models().equals(updated.models())) {
+            changes.add(prefix + "models change from %s to %s".formatted(formatModels(old), formatModels(updated)));
         }
-        if (old.leaving() != now.leaving()) {
-            changes.add(name + (now.leaving() ? "is leaving and receives no new work" : "receives new work again"));
-        }
-        if (old.maxConcurrent() != now.maxConcurrent()) {
+        if (old.leaving() != updated.leaving()) {
             changes.add(
-                    name + "maxConcurrent changes from %d to %d".formatted(old.maxConcurrent(), now.maxConcurrent()));
-            if (now.maxConcurrent() <= old.maxConcurrent() * HALVED) {
-                warnings.add(name + "maxConcurrent falls to half or less");
+                    prefix + (updated.leaving() ? "is leaving and receives no new work" : "receives new work again"));
+        }
+        if (old.maxConcurrent() != updated.maxConcurrent()) {
+            changes.add(prefix
+                    + "maxConcurrent changes from %d to %d".formatted(old.maxConcurrent(), updated.maxConcurrent()));
+            if (updated.maxConcurrent() <= old.maxConcurrent() * WARNING_FRACTION) {
+                warnings.add(prefix + "maxConcurrent falls to half or less");
             }
         }
-        if (!old.role().equals(now.role())) {
-            changes.add(name + "role changes from %s to %s".formatted(old.role(), now.role()));
+        if (!old.role().equals(updated.role())) {
+            changes.add(prefix + "role changes from %s to %s".formatted(old.role(), updated.role()));
         }
-        if (old.checksFence() != now.checksFence()) {
-            changes.add(name + "checksFence becomes " + now.checksFence());
+        if (old.checksFence() != updated.checksFence()) {
+            changes.add(prefix + "checksFence becomes " + updated.checksFence());
         }
-        if (old.type() != now.type() || !old.failureDomain().equals(now.failureDomain())) {
-            changes.add(name + "type or failure domain changes");
+        if (old.type() != updated.type() || !old.failureDomain().equals(updated.failureDomain())) {
+            changes.add(prefix + "type or failure domain changes");
         }
     }
 
     private void compareModels(Deployment before, Deployment after) {
-        Set<ModelName> lost = served(before);
-        lost.removeAll(served(after));
-        for (ModelName model : lost) {
+        Set<ModelName> unserved = servedModels(before);
+        unserved.removeAll(servedModels(after));
+        for (ModelName model : unserved) {
             String kinds = after.kinds().values().stream()
                     .filter(kind -> kind.model().equals(Optional.of(model)))
                     .map(kind -> kind.name().value())
@@ -113,55 +114,56 @@
     }
 
     private void compareKinds(Deployment before, Deployment after) {
-        added(before.kinds(), after.kinds()).forEach(name -> changes.add("kind " + name + " is added"));
+        addedKeys(before.kinds(), after.kinds()).forEach(name -> changes.add("kind " + name + " is added"));
         for (Kind old : before.kinds().values()) {
-            Kind now = after.kinds().get(old.name());
-            if (now == null) {
+            Kind updated = after.kinds().get(old.name());
+            if (updated == null) {
                 warnings.add("kind " + old.name() + " is removed: its callers are refused");
-            } else if (!now.equals(old)) {
-                changes.add("kind %s changes from %s to %s".formatted(old.name(), old, now));
-                if (!old.repeatable() && now.repeatable()) {
+            } else if (!updated.equals(old)) {
+                changes.add("kind %s changes from %s to %s".formatted(old.name(), old, updated));
+                if (!old.repeatable() && updated.repeatable()) {
                     warnings.add("kind " + old.name() + " becomes repeatable: it may run more than once");
                 }
-                if (now.deadline().compareTo(old.deadline()) < 0) {
+                if (updated.deadline().compareTo(old.deadline()) < 0) {
                     warnings.add("kind %s: the deadline falls from %d to %d ms"
                             .formatted(
                                     old.name(),
                                     old.deadline().toMillis(),
-                                    now.deadline().toMillis()));
+                                    updated.deadline().toMillis()));
                 }
             }
         }
     }
 
     private void compareOrganisations(Deployment before, Deployment after) {
-        added(before.organisations(), after.organisations())
+        addedKeys(before.organisations(), after.organisations())
                 .forEach(id -> changes.add("organisation " + id + " is added"));
         for (Organisation old : before.organisations().values()) {
-            Organisation now = after.organisations().get(old.id());
-            if (now == null) {
+            Organisation updated = after.organisations().get(old.id());
+            if (updated == null) {
                 warnings.add("organisation " + old.id() + " is removed: its callers are refused");
                 continue;
             }
-            if (!now.credentialSha256().equals(old.credentialSha256())) {
+            if (!updated.credentialSha256().equals(old.credentialSha256())) {
                 warnings.add("organisation " + old.id() + ": the credential changes; the old one is refused at once");
             }
-            if (now.share() != old.share()) {
-                changes.add(
-                        "organisation %s: share changes from %s to %s".formatted(old.id(), old.share(), now.share()));
+            if (updated.share() != old.share()) {
+                changes.add("organisation %s: share changes from %s to %s"
+                        .formatted(old.id(), old.share(), updated.share()));
             }
-            if (now.share() <= old.share() * HALVED) {
+            if (updated.share() <= old.share() * WARNING_FRACTION) {
                 warnings.add("organisation " + old.id() + ": the share falls to half or less");
             }
-            if (now.requestsPerSecond() < old.requestsPerSecond() || now.maxStreams() < old.maxStreams()) {
+            if (updated.requestsPerSecond() < old.requestsPerSecond() || updated.maxStreams() < old.maxStreams()) {
                 warnings.add("organisation " + old.id() + ": its limits fall");
-            } else if (now.requestsPerSecond() > old.requestsPerSecond() || now.maxStreams() > old.maxStreams()) {
+            } else if (updated.requestsPerSecond() > old.requestsPerSecond()
+                    || updated.maxStreams() > old.maxStreams()) {
                 changes.add("organisation " + old.id() + ": its limits rise");
             }
         }
     }
 
-    private void compareWhole(Deployment before, Deployment after) {
+    private void compareDeploymentSettings(Deployment before, Deployment after) {
         if (before.entryCount() != after.entryCount()) {
             changes.add("entryCount changes from %d to %d".formatted(before.entryCount(), after.entryCount()));
         }
@@ -177,13 +179,14 @@
         }
     }
 
-    private static <K extends Comparable<K>> Set<K> added(Map<K, ?> before, Map<K, ?> after) {
-        Set<K> ids = new TreeSet<>(after.keySet());
-        ids.removeAll(before.keySet());
-        return ids;
+    private static <K extends Comparable<K>> Set<K> addedKeys(Map<K, ?> before, Map<K, ?> after) {
+        Set<K> keys = new TreeSet<>(after.keySet());
+        keys.removeAll(before.keySet());
+        return keys;
     }
 
-    private static Set<ModelName> served(Deployment deployment) {
+    /** Returns the models of all targets that are not leaving. */
+    private static Set<ModelName> servedModels(Deployment deployment) {
         Set<ModelName> models = new HashSet<>();
         deployment.targets().values().stream()
                 .filter(target -> !target.leaving())
@@ -196,7 +199,7 @@
                 .anyMatch(target -> target.type() == TargetType.SERVICE && !target.leaving());
     }
 
-    private static String models(Target target) {
+    private static String formatModels(Target target) {
         return target.models().stream()
                 .map(loaded -> loaded.model() + "@" + loaded.version())
                 .collect(Collectors.joining(", ", "[", "]"));
--- a/ctl/src/main/java/org/verbenatally/ctl/DiffCommand.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/DiffCommand.java
@@ -11,7 +11,7 @@
 import org.verbenatally.config.ConfigReader;
 import org.verbenatally.config.Deployment;
 
-/** Says in words what a change of a deployment document does, and warns of changes that hurt callers. */
+/** Describes the changes between two deployment documents and warns of those that can harm callers. */
 final class DiffCommand implements Command {
 
     @Override
@@ -21,7 +21,7 @@
 
     @Override
     public String summary() {
-        return "Says what a new deployment document changes and warns of changes that hurt callers.";
+        return "Describes what a new deployment document changes and warns of changes that can harm callers.";
     }
 
     @Override
--- a/ctl/src/main/java/org/verbenatally/ctl/ExplainCommand.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/ExplainCommand.java
@@ -39,7 +39,7 @@
         return EntryResponses.options("print one JSON array")
                 .addOption(Option.builder()
                         .longOpt("logs")
-                        .desc("read log files, or standard input (-), instead of asking entries")
+                        .desc("read log files, or standard input (-), instead of querying entries")
                         .get());
     }
 
--- a/ctl/src/main/java/org/verbenatally/ctl/LogTrace.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/LogTrace.java
@@ -22,25 +22,26 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * What the log lines of several instances say about one request: its own lines, and what the instances found out about
- * targets, configuration and themselves meanwhile.
+ * Log lines of several instances about one request: the lines of the request, and what the instances logged about its
+ * targets, the configuration and themselves at that time.
  */
 final class LogTrace {
-    /** News from shortly before a request was sent explain its target. */
-    private static final Duration BEFORE = Duration.ofSeconds(2);
+    /** Events from shortly before the first line of a request are included: they explain the choice of its target. */
+    private static final Duration LEAD_TIME = Duration.ofSeconds(2);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String STANDARD_INPUT = "-";
-    private static final Set<String> FRAME = Set.of("time", "level", "event", "request");
+    /** Fields that are left out of the details of a line. */
+    private static final Set<String> COMMON_FIELDS = Set.of("time", "level", "event", "request");
 
     private final List<Line> lines;
 
     /**
-     * One structured line.
+     * One structured log line.
      *
-     * @param time when it was written
-     * @param instance who wrote it
-     * @param fields its fields
+     * @param time when the line was written
+     * @param instance name of the instance that wrote the line
+     * @param fields JSON object of the line
      */
     private record Line(Instant time, String instance, JsonNode fields) {
         String event() {
@@ -51,12 +52,12 @@
             return fields.path("request").asText().equals(request);
         }
 
-        /** Returns the fields that are not the same for every line, as text. */
+        /** Returns all fields that have a value, except the common ones, as text. */
         String details() {
             StringBuilder text = new StringBuilder();
             for (Iterator<Map.Entry<String, JsonNode>> i = fields.fields(); i.hasNext(); ) {
                 Map.Entry<String, JsonNode> field = i.next();
-                if (!FRAME.contains(field.getKey())
+                if (!COMMON_FIELDS.contains(field.getKey())
                         && !field.getValue().asText().isEmpty()) {
                     text.append("  ")
                             .append(field.getKey())
@@ -73,11 +74,11 @@
     }
 
     /**
-     * Reads the lines about a request, and those that are about no request.
+     * Reads the lines about a request and those that are not about any request.
      *
      * @param request id of the request
-     * @param files log files, {@code -} for standard input; a line is of the instance that the word before its JSON
-     *     object names, else of the one that its file is named after
+     * @param files log files, {@code -} for standard input; the instance of a line is named by the word before its JSON
+     *     object or, if there is none, by the file name without its extension
      * @param in standard input
      * @throws IOException if a file cannot be read
      */
@@ -88,9 +89,9 @@
                 read(request, in, STANDARD_INPUT, lines);
             } else {
                 Path path = Path.of(file);
-                String name = path.getFileName().toString().replaceFirst("\\.[^.]*$", "");
+                String defaultInstance = path.getFileName().toString().replaceFirst("\\.[^.]*$", "");
                 try (BufferedReader reader = Files.newBufferedReader(path)) {
-                    read(request, reader, name, lines);
+                    read(request, reader, defaultInstance, lines);
                 }
             }
         }
@@ -98,9 +99,10 @@
         return new LogTrace(lines);
     }
 
-    private static void read(String request, BufferedReader reader, String name, List<Line> lines) throws IOException {
+    private static void read(String request, BufferedReader reader, String defaultInstance, List<Line> lines)
+            throws IOException {
         for (String text = reader.readLine(); text != null; text = reader.readLine()) {
-            parse(text, name)
+            parse(text, defaultInstance)
                     .filter(line -> !line.event().isEmpty())
                     .filter(line -> line.isAbout(request)
                             || !line.fields().has("request")
@@ -110,42 +112,48 @@
         }
     }
 
-    /** Lines of other programs, and lines that were cut, are passed over. */
-    private static Optional<Line> parse(String text, String name) {
-        int begin = text.indexOf('{');
-        if (begin < 0) {
+    /** Returns the parsed line, or empty for lines of other programs and for truncated lines. */
+    private static Optional<Line> parse(String text, String defaultInstance) {
+        int jsonStart = text.indexOf('{');
+        if (jsonStart < 0) {
             return Optional.empty();
         }
         try {
-            JsonNode fields = MAPPER.readTree(text.substring(begin));
-            String[] words = text.substring(0, begin).strip().split("\\s+");
-            String instance = words[words.length - 1].isEmpty() ? name : words[words.length - 1];
+            JsonNode fields = MAPPER.readTree(text.substring(jsonStart));
+            String[] prefixWords = text.substring(0, jsonStart).strip().split("\\s+");
+            String instance = prefixWords[prefixWords.length - 1].isEmpty()
+                    ? defaultInstance
+                    : prefixWords[prefixWords.length - 1];
             return Optional.of(new Line(Instant.parse(fields.path("time").asText()), instance, fields));
         } catch (JsonProcessingException | DateTimeException e) {
             return Optional.empty();
         }
     }
 
-    /** Tells whether any line is about the request. */
+    /** Returns whether any line is about the request. */
     boolean isKnown() {
         return lines.stream().anyMatch(line -> line.fields().has("request"));
     }
 
-    /** Prints the life of the request, and between its steps the news of the targets that it was sent to. */
+    /**
+     * Prints the lines of the request in order of time and, between them, the events of the targets that it was sent to
+     * and of the instances that logged it, marked with an asterisk. Times are in seconds since the first line of the
+     * request.
+     */
     void print(Console console) {
-        List<Line> own = select(line -> line.fields().has("request"));
-        Instant start = own.getFirst().time();
-        Instant end = own.getLast().time();
-        Set<String> targets = own.stream()
+        List<Line> requestLines = select(line -> line.fields().has("request"));
+        Instant start = requestLines.getFirst().time();
+        Instant end = requestLines.getLast().time();
+        Set<String> targets = requestLines.stream()
                 .flatMap(line -> List.of("target", "from").stream()
                         .map(field -> line.fields().path(field).asText()))
                 .filter(target -> !target.isEmpty())
                 .collect(Collectors.toSet());
-        Set<String> instances = own.stream().map(Line::instance).collect(Collectors.toSet());
+        Set<String> instances = requestLines.stream().map(Line::instance).collect(Collectors.toSet());
         select(line -> line.fields().has("request")
-                        || !line.time().isBefore(start.minus(BEFORE))
+                        || !line.time().isBefore(start.minus(LEAD_TIME))
                                 && !line.time().isAfter(end)
-                                && explains(line, targets, instances))
+                                && isRelevant(line, targets, instances))
                 .forEach(line -> console.out()
                         .printf(
                                 "%+9.3f s  %-20s %s %-22s%s%n",
@@ -156,12 +164,13 @@
                                 line.details()));
     }
 
-    private static boolean explains(Line line, Set<String> targets, Set<String> instances) {
+    /** Returns whether a line is about one of the targets or, if it names no target, is from one of the instances. */
+    private static boolean isRelevant(Line line, Set<String> targets, Set<String> instances) {
         String target = line.fields().path("target").asText();
         return target.isEmpty() ? instances.contains(line.instance()) : targets.contains(target);
     }
 
-    private List<Line> select(Predicate<Line> wanted) {
-        return lines.stream().filter(wanted).toList();
+    private List<Line> select(Predicate<Line> condition) {
+        return lines.stream().filter(condition).toList();
     }
 }
