--- a/ctl/src/test/java/org/verbenatally/ctl/CtlMainTest.java
+++ b/ctl/src/test/java/org/verbenatally/ctl/CtlMainTest.java
@@ -24,14 +24,14 @@
     private static final Path EXAMPLES = Path.of("..", "examples");
 
     @TempDir
-    private Path folder;
+    private Path tempDir;
 
     private record Result(int status, String out, String err) {}
 
-    /** Guards against generated documents that the entry refuses, and against output that changes from run to run. */
+    /** Guards against generated documents that an entry refuses, and against output that differs between runs. */
     @ParameterizedTest
     @ValueSource(strings = {"abay", "aarhus"})
-    void generatesTheSameAcceptedDocumentFromTheExampleAnswers(String name) throws Exception {
+    void generatesTheSameValidDocumentFromTheExampleAnswers(String name) throws Exception {
         String answers = EXAMPLES.resolve(name + ".answers").toString();
         Result first = run("", "questionnaire", "--answers", answers);
         Result second = run("", "questionnaire", "--answers", answers);
@@ -50,7 +50,7 @@
 
     /** Guards against generated values whose origin an operator cannot find. */
     @Test
-    void namesTheAnswerBehindEachGeneratedValue() {
+    void namesTheAnswerOfEachGeneratedValue() {
         Result result = run(
                 "",
                 "questionnaire",
@@ -60,7 +60,7 @@
                 .allMatch(line -> line.contains("// answer: "));
     }
 
-    /** Guards against answers that contradict each other and would give a harmful configuration. */
+    /** Guards against contradictory answers that are accepted and result in a harmful configuration. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '\'', textBlock = """
             "ifDoubled": "lot"        | "ifDoubled": "lot", "mayRetry": true        | mayRetry must be false
@@ -73,7 +73,7 @@
     void refusesContradictionsAndNamesBothAnswers(String answer, String changed, String expected) throws Exception {
         String answers = Files.readString(EXAMPLES.resolve("abay.answers"));
         assertThat(answers).contains(answer);
-        Path file = folder.resolve("changed.answers");
+        Path file = tempDir.resolve("changed.answers");
         Files.writeString(file, answers.replace(answer, changed));
         Result result = run("", "questionnaire", "--answers", file.toString());
         assertThat(result.status()).isEqualTo(ExitStatus.REFUSED);
@@ -81,24 +81,24 @@
         assertThat(result.out()).isEmpty();
     }
 
-    /** Guards against an interview that loses answers or accepts a value that does not fit. */
+    /** Guards against a questionnaire in the terminal that loses answers or accepts an invalid value. */
     @Test
-    void asksInTheTerminalAndTakesDefaults() throws Exception {
+    void asksInTheTerminalAndAppliesDefaults() throws Exception {
         String header = "small\n\n\n\n";
         String caller = "one\n" + "a".repeat(64) + "\nhuge\nlarge\n\n\n\nno\n";
         String work = "booking\nservice\n\n\nat-once\nlittle\nlot\nlot\n\n\n20\n\n\n\nno\n";
         String target = "service-1\nservice\n127.0.0.1\n9200\nhere\nno\n\n\nno\n";
-        Path saved = folder.resolve("saved.answers");
+        Path saved = tempDir.resolve("saved.answers");
         Result result = run(header + caller + work + target, "questionnaire", "--save", saved.toString());
         assertThat(result.err()).contains("enum [\"large\",\"small\"]");
         assertThat(result.status()).isZero();
         Deployment deployment = ConfigReader.read("small", result.out().getBytes(StandardCharsets.UTF_8));
         assertThat(deployment.kinds().get(new KindName("booking")).repeatable()).isFalse();
-        Result again = run("", "questionnaire", "--answers", saved.toString());
-        assertThat(again.out()).isEqualTo(result.out());
+        Result fromSavedAnswers = run("", "questionnaire", "--answers", saved.toString());
+        assertThat(fromSavedAnswers.out()).isEqualTo(result.out());
     }
 
-    /** Guards against a change that cuts callers off and passes review unnoticed. */
+    /** Guards against a change that harms callers and passes review unnoticed for lack of a warning. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '\'', textBlock = """
             "version": 1,             | "version": 1,                  | does not follow
@@ -108,9 +108,9 @@
             "repeatable": false       | "repeatable": true             | becomes repeatable
             "deadlineMs": 20000       | "deadlineMs": 10000            | the deadline falls
             """)
-    void warnsOfChangesThatHurt(String old, String changed, String expected) throws Exception {
+    void warnsOfHarmfulChanges(String old, String changed, String expected) throws Exception {
         Path before = EXAMPLES.resolve("abay.deployment.json");
-        Path after = folder.resolve("after.json");
+        Path after = tempDir.resolve("after.json");
         String text = Files.readString(before);
         assertThat(text).contains(old);
         Files.writeString(after, text.replace(old, changed));
@@ -119,7 +119,7 @@
         assertThat(result.status()).isEqualTo(ExitStatus.REFUSED);
     }
 
-    /** Guards against stack traces for an operator's mistake. */
+    /** Guards against a stack trace in place of a one-line message when an operator makes a mistake. */
     @ParameterizedTest
     @CsvSource(delimiter = '|', quoteCharacter = '"', textBlock = """
             nonsense                | 2 | no command 'nonsense'
@@ -135,10 +135,10 @@
         assertThat(result.err()).contains(message).doesNotContain("Exception");
     }
 
-    /** Guards against faults that are shown one at a time. */
+    /** Guards against a check that reports only the first fault of a document. */
     @Test
     void checkListsEveryFaultWithItsLine() throws IOException {
-        Path file = folder.resolve("bad.json");
+        Path file = tempDir.resolve("bad.json");
         String text = Files.readString(EXAMPLES.resolve("abay.deployment.json"));
         Files.writeString(file, text.replace("\"share\": 6", "\"share\": -6").replace("\"entryCount\"", "\"entries\""));
         Result result = run("", "check", file.toString());
--- a/ctl/src/test/java/org/verbenatally/ctl/ExplainLogsTest.java
+++ b/ctl/src/test/java/org/verbenatally/ctl/ExplainLogsTest.java
@@ -14,7 +14,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class ExplainLogsTest {
-    private static final String ONE = """
+    private static final String FIRST_LOG = """
             {"time":"2026-03-05T08:25:10.000Z","event":"target.leaving","target":"e1","reason":"draining"}
             {"time":"2026-03-05T08:25:09.500Z","event":"request.sent","request":"r1","target":"e1"}
             {"time":"2026-03-05T08:25:09.600Z","event":"request.sent","request":"r2","target":"e1"}
@@ -23,14 +23,14 @@
             {"time":"2026-03-05T08:25:11.000Z","event":"request.ended","request":"r1","outco
             {"time":"2026-03-05T08:25:12.000Z","event":"request.ended","request":"r1","outcome":"lost"}
             """;
-    private static final String TWO = """
+    private static final String SECOND_LOG = """
             {"time":"2026-03-05T08:25:09.900Z","event":"target.leaving","target":"e2","reason":"draining"}
             {"time":"2026-03-05T08:25:09.950Z","event":"target.leaving","target":"e1","reason":"draining"}
             {"time":"2026-03-05T08:25:08.000Z","event":"config.inForce","version":7}
             """;
 
     @TempDir
-    private Path folder;
+    private Path tempDir;
 
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
@@ -39,21 +39,21 @@
                 new BufferedReader(new StringReader(input)),
                 new PrintStream(out, true, StandardCharsets.UTF_8),
                 new PrintStream(new ByteArrayOutputStream(), true, StandardCharsets.UTF_8));
-        String[] all = new String[arguments.length + 2];
-        all[0] = "explain";
-        all[1] = "--logs";
-        System.arraycopy(arguments, 0, all, 2, arguments.length);
-        return CtlMain.run(all, console);
+        String[] allArguments = new String[arguments.length + 2];
+        allArguments[0] = "explain";
+        allArguments[1] = "--logs";
+        System.arraycopy(arguments, 0, allArguments, 2, arguments.length);
+        return CtlMain.run(allArguments, console);
     }
 
     private String file(String name, String text) throws Exception {
-        return Files.writeString(folder.resolve(name), text).toString();
+        return Files.writeString(tempDir.resolve(name), text).toString();
     }
 
-    /** Guards against a life of a request that lacks what another instance knew, or holds that of other requests. */
+    /** Guards against a trace that lacks the events of other instances or contains the lines of other requests. */
     @Test
     void mergesTheLinesOfAllInstances() throws Exception {
-        assertThat(explain("", "r1", file("one.log", ONE), file("two.log", TWO)))
+        assertThat(explain("", "r1", file("one.log", FIRST_LOG), file("two.log", SECOND_LOG)))
                 .isEqualTo(ExitStatus.OK);
         String[] lines = out.toString(StandardCharsets.UTF_8).split("\n");
         assertThat(lines).hasSize(4);
@@ -63,17 +63,17 @@
         assertThat(lines[3]).contains("request.ended", "outcome lost", "+2.500");
     }
 
-    /** Guards against lines of several instances in one stream that are all taken for lines of one. */
+    /** Guards against attributing all lines of standard input to one instance when each line names its instance. */
     @Test
-    void readsStandardInputWithNamesBeforeTheLines() {
-        String prefixed = ONE.replaceAll("(?m)^\\{", " 12.5 front-1 {");
+    void readsStandardInputWithInstanceNamesBeforeTheLines() {
+        String prefixed = FIRST_LOG.replaceAll("(?m)^\\{", " 12.5 front-1 {");
         assertThat(explain(prefixed, "r2", "-")).isEqualTo(ExitStatus.OK);
         assertThat(out.toString(StandardCharsets.UTF_8)).contains("front-1").contains("request.sent");
     }
 
-    /** Guards against an empty answer that looks as if nothing had happened. */
+    /** Guards against an unknown request that gives no output and the exit status of success. */
     @Test
-    void saysThatARequestIsNotKnown() {
-        assertThat(explain(ONE, "r9", "-")).isEqualTo(ExitStatus.REFUSED);
+    void reportsAnUnknownRequest() {
+        assertThat(explain(FIRST_LOG, "r9", "-")).isEqualTo(ExitStatus.REFUSED);
     }
 }
--- a/ctl/src/test/java/org/verbenatally/ctl/OperatorCommandsTest.java
+++ b/ctl/src/test/java/org/verbenatally/ctl/OperatorCommandsTest.java
@@ -27,58 +27,60 @@
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
 
     @TempDir
-    private Path folder;
+    private Path tempDir;
 
     @AfterEach
-    void stop() {
+    void stopServers() {
         servers.forEach(server -> server.stop(0));
     }
 
-    /** Guards against a burn report that leaves out an entry or a cause without saying so. */
+    /** Guards against a burn report that leaves out an entry or a cause without reporting it. */
     @Test
-    void burnSumsTheEntriesAndNamesThoseThatAreMissing() throws IOException {
-        String one = entry(Map.of("/operator/burn", burn("entry-1", 90, 10)));
-        String two = entry(Map.of("/operator/burn", burn("entry-2", 0, 100)));
-        String gone = entry(Map.of());
+    void burnSumsTheEntriesAndListsMissingOnes() throws IOException {
+        String first = startEntry(Map.of("/operator/burn", burnReport("entry-1", 90, 10)));
+        String second = startEntry(Map.of("/operator/burn", burnReport("entry-2", 0, 100)));
+        String stopped = startEntry(Map.of());
         servers.removeLast().stop(0);
-        Path page = folder.resolve("burn.html");
+        Path page = tempDir.resolve("burn.html");
 
-        int status = run("burn", "--html", page.toString(), one, two, gone);
+        int status = run("burn", "--html", page.toString(), first, second, stopped);
 
         assertThat(status).isEqualTo(ExitStatus.REFUSED);
-        assertThat(text(out)).contains("entry-1 counts since 70 s", "missing: " + gone);
+        assertThat(text(out)).contains("entry-1 counts since 70 s", "missing: " + stopped);
         assertThat(text(out)).containsPattern("guide +5 +200 +110 +0 +0 +0 +11.00");
         assertThat(text(out)).containsPattern("guide +60 +200 +110 .* SLOW");
         assertThat(Files.readString(page)).contains("guide").doesNotContain("src=", "href=");
     }
 
-    /** Guards against a status that hides that entries run different configurations. */
+    /** Guards against a status report that does not show that entries run different configurations. */
     @Test
     void statusReportsEntriesThatDisagree() throws IOException {
-        String one = entry(Map.of("/operator/status", "{\"instance\":\"entry-1\",\"ready\":true,\"configVersion\":7}"));
-        String two = entry(Map.of("/operator/status", "{\"instance\":\"entry-2\",\"ready\":true,\"configVersion\":8}"));
+        String first =
+                startEntry(Map.of("/operator/status", "{\"instance\":\"entry-1\",\"ready\":true,\"configVersion\":7}"));
+        String second =
+                startEntry(Map.of("/operator/status", "{\"instance\":\"entry-2\",\"ready\":true,\"configVersion\":8}"));
 
-        assertThat(run("status", one, two)).isEqualTo(ExitStatus.REFUSED);
+        assertThat(run("status", first, second)).isEqualTo(ExitStatus.REFUSED);
 
         assertThat(text(out)).contains("entry-1", "entry-2");
         assertThat(text(err)).contains("disagree").contains("[7, 8]");
     }
 
-    /** Guards against an explanation that is lost because another entry does not know the request. */
+    /** Guards against losing the trace of a request because another entry does not know the request. */
     @Test
     void explainShowsTheEntryThatKnowsTheRequest() throws IOException {
         String trace = "{\"request\":\"r1\",\"organisation\":\"tana\",\"kind\":\"guide\",\"steps\":"
                 + "[{\"atMs\":3,\"text\":\"attempt 1 on engine-2\"}]}";
-        String one = entry(Map.of());
-        String two = entry(Map.of("/operator/explain/r1", trace));
+        String first = startEntry(Map.of());
+        String second = startEntry(Map.of("/operator/explain/r1", trace));
 
-        assertThat(run("explain", "r1", one, two)).isEqualTo(ExitStatus.OK);
+        assertThat(run("explain", "r1", first, second)).isEqualTo(ExitStatus.OK);
         assertThat(text(out)).contains("3 ms  attempt 1 on engine-2");
-        assertThat(run("explain", "r2", one, two)).isEqualTo(ExitStatus.REFUSED);
+        assertThat(run("explain", "r2", first, second)).isEqualTo(ExitStatus.REFUSED);
         assertThat(text(err)).contains("no entry remembers request r2");
     }
 
-    private static String burn(String instance, int met, int late) {
+    private static String burnReport(String instance, int met, int late) {
         String counts = "\"requests\":%d,\"met\":%d,\"late\":%d,\"stalled\":0,\"refused\":0,\"lost\":0"
                 .formatted(met + late, met, late);
         String kind =
@@ -88,12 +90,12 @@
                 .formatted(instance, kind, organisation);
     }
 
-    private String entry(Map<String, String> answers) throws IOException {
+    private String startEntry(Map<String, String> responses) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
         server.createContext("/", exchange -> {
-            String answer = answers.get(exchange.getRequestURI().getPath());
-            byte[] bytes = (answer == null ? "{}" : answer).getBytes(StandardCharsets.UTF_8);
-            exchange.sendResponseHeaders(answer == null ? 404 : 200, bytes.length);
+            String response = responses.get(exchange.getRequestURI().getPath());
+            byte[] bytes = (response == null ? "{}" : response).getBytes(StandardCharsets.UTF_8);
+            exchange.sendResponseHeaders(response == null ? 404 : 200, bytes.length);
             exchange.getResponseBody().write(bytes);
             exchange.close();
         });
