--- a/entry/src/main/java/org/verbenatally/entry/EntryMain.java
+++ b/entry/src/main/java/org/verbenatally/entry/EntryMain.java
@@ -15,13 +15,16 @@
 import org.verbenatally.core.Program;
 import org.verbenatally.settings.EntrySettings;
 
-/** Main class of the entry process. Exit status: 0 stopped in order, 1 failed to run, 2 wrong usage or settings. */
+/**
+ * Main class of the entry process. Exit status: 0 after a graceful shutdown, 1 if the process failed to start, 2 if the
+ * arguments or settings are not valid.
+ */
 public final class EntryMain {
     private static final Logger LOG = Logger.getLogger(EntryMain.class);
 
     private EntryMain() {}
 
-    /** Runs the process until it has been told to stop. */
+    /** Runs the process until it is told to stop. */
     public static void main(String[] args) throws Exception {
         new Program("verbenatally-entry", "", "Runs one entry process.", options(), EntryMain.class)
                 .start(args, EntryMain::run);
@@ -76,11 +79,11 @@
             return Program.FAILED;
         }
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(server), "shutdown"));
-        server.drained().join();
+        server.closeFuture().join();
         return 0;
     }
 
-    /** Runs the graceful shutdown on SIGTERM; the exit status of a stop in order is 0, not that of the signal. */
+    /** Runs the graceful shutdown on SIGTERM. The exit status after it is 0, not that of the signal. */
     private static void stop(EntryServer server) {
         server.drain().join();
         Runtime.getRuntime().halt(0);
--- a/entry/src/main/java/org/verbenatally/entry/EntryServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/EntryServer.java
@@ -40,7 +40,9 @@
 import org.verbenatally.time.SystemTimerService;
 import org.verbenatally.time.TimerService;
 
-/** One entry instance: the facade of this module. Start it, and stop it with {@link #drain} or {@link #close}. */
+/**
+ * One entry instance, the facade of this module. It runs from {@link #start} until {@link #drain} or {@link #close}.
+ */
 public final class EntryServer implements AutoCloseable {
     private static final long START_TIMEOUT_SECONDS = 20;
     private static final long CLOSE_TIMEOUT_SECONDS = 2;
@@ -64,7 +66,7 @@
     private OrderIssuer orders;
 
     /**
-     * Where the server listens.
+     * The ports on which the server listens.
      *
      * @param callers port for callers
      * @param operator port for operators
@@ -72,19 +74,21 @@
      */
     public record Ports(int callers, int operator, int peers) {}
 
-    /** Creates a server that is not started. */
+    /** Creates a server without starting it. */
     public EntryServer(EntrySettings settings) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.dispatcher = new Dispatcher(timer, targets, suspects, new FailureDomain(settings.getFailureDomain()));
     }
 
     /**
-     * Starts to listen and returns the ports; the server becomes ready once it has a configuration.
+     * Starts listening. The server becomes ready once it has a configuration.
      *
-     * @throws java.util.concurrent.CompletionException if a port is taken or the start takes too long
+     * @return the ports on which the server listens
+     *
+     * @throws java.util.concurrent.CompletionException if a port is in use or startup takes longer than 20 seconds
      */
     public Ports start() {
-        Context context = taskContext();
+        Context context = createTaskContext();
         PeerBridge bridge = new PeerBridge(targets, suspects);
         peers = join(Peers.start(PeerOptions.of(settings), vertx, timer, config, ConfigReader::read, bridge));
         TargetClients clients = new TargetClients(vertx);
@@ -104,47 +108,50 @@
                 settings.getStreamKeys(),
                 metrics,
                 log);
-        bridge.keyedCalls(callers.keyedCalls());
+        bridge.setKeyedCalls(callers.keyedCalls());
         peers.onConfig(dispatcher::configure);
-        peers.onInstances(this::leavingTargets);
+        peers.onInstances(this::onInstances);
         loads.start();
         engines = new HttpEngineControl(vertx);
         orders = new OrderIssuer(peers.self(), peers::members, config, engines, timer);
         status = new StatusView(
-                settings.getInstance(), config, peers, targets, callers, dispatcher, metrics, this::notReady);
+                settings.getInstance(), config, peers, targets, callers, dispatcher, metrics, this::notReadyReason);
         OperatorServer operator = new OperatorServer(
                 vertx,
-                new OperatorServer.Views(this::notReady, status::status, status::burn, metrics, log, this::drain));
+                new OperatorServer.Views(
+                        this::notReadyReason, status::status, status::burn, metrics, log, this::drain));
         return new Ports(
                 await(callers.listen(settings.getCallers())),
                 await(operator.listen(settings.getOperator())),
                 peers.address().port());
     }
 
-    private void leavingTargets(List<PlatformInstance> instances) {
+    /** Updates the targets that the platform lists as leaving, and reports new ones to the peers at once. */
+    private void onInstances(List<PlatformInstance> instances) {
         Set<TargetId> listed = instances.stream()
                 .filter(instance -> instance.role() != PlatformInstance.Role.ENTRY && instance.leaving())
                 .map(instance -> new TargetId(instance.id()))
                 .collect(Collectors.toSet());
-        boolean news = !targets.knownLeaving().containsAll(listed);
+        boolean hasNew = !targets.knownLeaving().containsAll(listed);
         targets.listedLeaving(listed);
-        if (news) {
+        if (hasNew) {
             peers.push();
         }
     }
 
-    private Context taskContext() {
-        CompletableFuture<Context> found = new CompletableFuture<>();
+    /** Creates the context of a virtual-thread verticle, on which tasks may block. */
+    private Context createTaskContext() {
+        CompletableFuture<Context> contextFuture = new CompletableFuture<>();
         await(vertx.deployVerticle(
                 () -> new VerticleBase() {
                     @Override
                     public Future<?> start() {
-                        found.complete(context);
+                        contextFuture.complete(context);
                         return Future.succeededFuture();
                     }
                 },
                 new DeploymentOptions().setThreadingModel(ThreadingModel.VIRTUAL_THREAD)));
-        return found.join();
+        return contextFuture.join();
     }
 
     private static <T> T await(Future<T> future) {
@@ -155,11 +162,11 @@
         return future.orTimeout(START_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
     }
 
-    private Optional<String> notReady() {
+    private Optional<String> notReadyReason() {
         return draining.get() ? Optional.of("this entry is stopping") : peers.notReadyReason();
     }
 
-    /** Starts a graceful shutdown; completes when the server has stopped. */
+    /** Starts a graceful shutdown unless one is in progress; the future completes when the server has stopped. */
     public CompletableFuture<Void> drain() {
         if (draining.compareAndSet(false, true)) {
             Thread.ofPlatform().name("drain").start(this::shutDown);
@@ -178,11 +185,11 @@
     }
 
     /** Returns a future that completes when the server has stopped. */
-    public CompletableFuture<Void> drained() {
+    public CompletableFuture<Void> closeFuture() {
         return stopped;
     }
 
-    /** Stops at once. */
+    /** Stops the server at once, without a graceful shutdown. */
     @Override
     public void close() {
         if (!closing.compareAndSet(false, true)) {
@@ -193,11 +200,11 @@
             orders.close();
             engines.close();
         }
-        // A task that still waits must not keep the process from ending.
+        // A task that is still waiting must not prevent the process from ending.
         stopped.completeOnTimeout(null, 2 * CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
-        CompletableFuture<Void> left = peers == null ? CompletableFuture.completedFuture(null) : peers.close();
-        left.orTimeout(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).whenComplete((v, e) -> {
-            // No tick may find the contexts closed.
+        CompletableFuture<Void> peersClosed = peers == null ? CompletableFuture.completedFuture(null) : peers.close();
+        peersClosed.orTimeout(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS).whenComplete((v, e) -> {
+            // Timer tasks must not run on closed contexts.
             timer.close();
             vertx.close().onComplete(done -> stopped.complete(null));
         });
--- a/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
+++ b/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
@@ -17,51 +17,64 @@
 import org.verbenatally.peer.PeerNetwork;
 import org.verbenatally.wire.KeyTransfer;
 
-/** The steps of a graceful shutdown, in order. One thread runs them. */
+/** Runs the steps of a graceful shutdown in order, on one thread. */
 final class GracefulShutdown {
     private static final Logger LOG = Logger.getLogger(GracefulShutdown.class);
 
-    /** Load balancers go on sending for a while after an instance has become unready. */
-    private static final Duration BALANCER_LAG = Duration.ofSeconds(3);
+    /** Load balancers continue to send requests for some time after an instance has become unready. */
+    private static final Duration LOAD_BALANCER_DELAY = Duration.ofSeconds(3);
 
-    private static final Duration LOOK = Duration.ofMillis(50);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
+    /** Time limit for the transfer of one key table. */
     private static final Duration TRANSFER_TIMEOUT = Duration.ofSeconds(10);
-    private static final Duration TRANSFER_RETRY = Duration.ofSeconds(1);
-    /** Time for streams that were told to reconnect to write their last bytes. */
-    private static final Duration LAST_BYTES = Duration.ofSeconds(2);
+
+    private static final Duration TRANSFER_RETRY_DELAY = Duration.ofSeconds(1);
+    /** Time allowed for streams whose callers must reconnect to write their last bytes. */
+    private static final Duration FLUSH_TIMEOUT = Duration.ofSeconds(2);
 
     private final CallerServer callers;
     private final PeerNetwork peers;
-    private final Duration bound;
+    private final Duration timeout;
     private final long startNanos = System.nanoTime();
 
-    GracefulShutdown(CallerServer callers, PeerNetwork peers, Duration bound) {
+    /**
+     * Creates a shutdown whose time limit starts now.
+     *
+     * @param timeout time from now after which callers with open requests must reconnect
+     */
+    GracefulShutdown(CallerServer callers, PeerNetwork peers, Duration timeout) {
         this.callers = Objects.requireNonNull(callers, "callers");
         this.peers = Objects.requireNonNull(peers, "peers");
-        this.bound = Objects.requireNonNull(bound, "bound");
+        this.timeout = Objects.requireNonNull(timeout, "timeout");
     }
 
-    /** Runs all steps. The instance must be unready already. */
+    /**
+     * Runs all steps. The instance must already report that it is not ready.
+     *
+     * @throws InterruptedException if the thread is interrupted; the remaining steps are then skipped
+     */
     void run() throws InterruptedException {
         LOG.infof("caller: stopping, %d requests are open", callers.open());
         callers.keyedCalls().stopIssuing();
         peers.leave();
-        TimeUnit.NANOSECONDS.sleep(BALANCER_LAG.toNanos());
+        TimeUnit.NANOSECONDS.sleep(LOAD_BALANCER_DELAY.toNanos());
         callers.refuse();
-        // Streams go on while the keys are handed over; the order of the two does not matter to callers.
-        Thread keys = Thread.ofVirtual().name("key-transfer").start(this::handOver);
-        boolean idle = await(() -> callers.open() == 0, left());
+        // Streams continue while the keys are transferred; the order of the two does not matter to callers.
+        Thread keys = Thread.ofVirtual().name("key-transfer").start(this::transferKeysToSuccessor);
+        boolean idle = await(() -> callers.open() == 0, remaining());
         if (!idle) {
-            LOG.infof("stream: %d requests are still open at the bound, their callers reconnect", callers.open());
+            LOG.infof(
+                    "stream: %d requests are still open at the shutdown timeout; their callers must reconnect",
+                    callers.open());
             callers.reconnectAll();
-            await(() -> callers.open() == 0, LAST_BYTES);
+            await(() -> callers.open() == 0, FLUSH_TIMEOUT);
         }
-        keys.join(Duration.ofMillis(Math.max(1, left().toMillis())));
+        keys.join(Duration.ofMillis(Math.max(1, remaining().toMillis())));
         LOG.infof("caller: stopped");
     }
 
-    private Duration left() {
-        return bound.minusNanos(System.nanoTime() - startNanos);
+    private Duration remaining() {
+        return timeout.minusNanos(System.nanoTime() - startNanos);
     }
 
     private static boolean await(BooleanSupplier condition, Duration limit) throws InterruptedException {
@@ -70,27 +83,27 @@
             if (System.nanoTime() - end >= 0) {
                 return false;
             }
-            TimeUnit.NANOSECONDS.sleep(LOOK.toNanos());
+            TimeUnit.NANOSECONDS.sleep(POLL_INTERVAL.toNanos());
         }
         return true;
     }
 
-    /** Transfers the key tables to a successor, trying until one confirms or the time is up. */
-    private void handOver() {
+    /** Transfers the key tables to a successor; retries until one confirms or the time limit is reached. */
+    private void transferKeysToSuccessor() {
         KeyStore store = callers.keyedCalls().store();
-        if (store.isUnneeded()) {
+        if (store.hasNothingToTransfer()) {
             return;
         }
         try {
-            while (left().isPositive()) {
-                Optional<InstanceId> successor = successor();
+            while (remaining().isPositive()) {
+                Optional<InstanceId> successor = chooseSuccessor();
                 if (successor.isPresent() && transfer(store, successor.get())) {
                     LOG.infof("key: %s has taken over the keys", successor.get());
                     return;
                 }
-                TimeUnit.NANOSECONDS.sleep(TRANSFER_RETRY.toNanos());
+                TimeUnit.NANOSECONDS.sleep(TRANSFER_RETRY_DELAY.toNanos());
             }
-            LOG.warn("key: no successor took the keys over");
+            LOG.warn("key: no successor has taken over the keys");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -100,12 +113,12 @@
         Optional<InstanceId> confirmed = Optional.empty();
         store.beginTransfer();
         try {
-            // No call starts during a transfer; those that run end by their deadlines.
-            await(() -> store.open() == 0, left());
-            for (List<KeyTransfer> parts : store.parts()) {
+            // No call starts during a transfer; the running calls end by their deadlines.
+            await(() -> store.openCalls() == 0, remaining());
+            for (List<KeyTransfer> parts : store.transferParts()) {
                 peers.transferKeys(successor, parts, TRANSFER_TIMEOUT).get();
             }
-            // From here on this instance decides no more, whatever becomes of the announcement.
+            // From here on this instance makes no decisions, even if the announcement is lost.
             confirmed = Optional.of(successor);
             peers.announceKeySuccessor(successor);
         } catch (ExecutionException | RuntimeException e) {
@@ -116,8 +129,8 @@
         return confirmed.isPresent();
     }
 
-    /** Returns the next live member by id, so that several leaving instances spread over the fleet. */
-    private Optional<InstanceId> successor() {
+    /** Returns the next live member in id order, so that several leaving instances choose different successors. */
+    private Optional<InstanceId> chooseSuccessor() {
         List<InstanceId> live = peers.members().stream()
                 .filter(member -> member.status() == MemberInfo.Status.LIVE)
                 .map(MemberInfo::instance)
--- a/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
+++ b/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
@@ -17,7 +17,7 @@
 import org.verbenatally.wire.Suspect;
 import org.verbenatally.wire.TargetLoad;
 
-/** Connects the peer network with the tables of this entry. */
+/** Connects the peer network to the tables of this entry. */
 final class PeerBridge implements PeerHandler {
     private final TargetTable targets;
     private final SuspectTable suspects;
@@ -28,8 +28,11 @@
         this.suspects = Objects.requireNonNull(suspects, "suspects");
     }
 
-    /** Supplies the keyed calls, which need the network; calls that arrive earlier wait for it. */
-    void keyedCalls(KeyedCalls calls) {
+    /**
+     * Sets the handler of keyed calls, which itself needs the peer network. Forwarded calls and key transfers that
+     * arrive earlier wait for it.
+     */
+    void setKeyedCalls(KeyedCalls calls) {
         keyedCalls.complete(calls);
     }
 
@@ -69,8 +72,8 @@
     }
 
     @Override
-    public void onSuspects(InstanceId from, List<Suspect> rows) {
-        suspects.merge(from, rows);
+    public void onSuspects(InstanceId from, List<Suspect> reported) {
+        suspects.merge(from, reported);
     }
 
     @Override
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -23,11 +23,12 @@
 import org.verbenatally.policy.TargetTable;
 import org.verbenatally.wire.TargetLoad;
 
-/** The state of this entry as operators see it. */
+/** Builds the status and error-budget reports that operators read. */
 final class StatusView {
-    /** Targets shown; at full size the busy ones are shown first. */
+    /** Maximum number of targets shown. Those with requests of this entry in flight come first. */
     private static final int MAX_TARGETS = 256;
 
+    /** Fraction of requests that must meet their service levels, until a configuration states the objective. */
     private static final double DEFAULT_OBJECTIVE = 0.95;
 
     private final String instance;
@@ -58,6 +59,7 @@
         this.notReady = Objects.requireNonNull(notReady, "notReady");
     }
 
+    /** Returns the state of this entry, its peers and its targets. */
     JsonObject status() {
         Optional<String> reason = notReady.get();
         JsonObject json = new JsonObject()
@@ -116,7 +118,7 @@
                 .put("ownTokens", load == null ? 0 : load.getTokens());
     }
 
-    /** Returns the use of the error budget. */
+    /** Returns the consumption of the error budget, by kind and by organisation. */
     JsonObject burn() {
         return metrics.budget()
                 .burn(config.deployment().map(d -> d.levels().objective()).orElse(DEFAULT_OBJECTIVE))
--- a/entry/src/main/java/org/verbenatally/entry/key/CallResult.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/CallResult.java
@@ -10,23 +10,23 @@
  * The final result of a keyed call.
  *
  * @param outcome what is known about the call
- * @param status HTTP status of the target's answer; 0 if there is none
- * @param body the target's answer, empty if there is none
- * @param step where the call failed, if it did
- * @param peer the target or instance on the other side, empty if none
- * @param message why the call failed, empty if it did not
+ * @param status HTTP status of the target's response; 0 if there is none
+ * @param body body of the target's response; empty if there is none
+ * @param step the step at which the call failed, if it did
+ * @param peer name of the target or instance involved; empty if none
+ * @param message why the call failed, or why the body is missing; otherwise empty
  */
 public record CallResult(Outcome outcome, int status, byte[] body, Optional<Step> step, String peer, String message) {
     private static final byte[] NONE = {};
 
-    /** Checks the parts. */
+    /** Checks that no required component is null. */
     public CallResult {
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(body, "body");
         Objects.requireNonNull(step, "step");
     }
 
-    /** Returns the result of a call that the target answered. */
+    /** Returns the result of a call to which the target responded. */
     public static CallResult done(int status, byte[] body, String peer) {
         return new CallResult(Outcome.DONE, status, body, Optional.empty(), peer, "");
     }
@@ -36,8 +36,8 @@
         return new CallResult(outcome, 0, NONE, Optional.of(step), peer, message);
     }
 
-    /** Returns the result without the target's answer. */
+    /** Returns this result without the body of the target's response. */
     CallResult withoutBody() {
-        return new CallResult(outcome, status, NONE, step, peer, "the answer is no longer stored");
+        return new CallResult(outcome, status, NONE, step, peer, "the response is no longer stored");
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/key/ForwardFrames.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/ForwardFrames.java
@@ -12,7 +12,7 @@
 import org.verbenatally.wire.ForwardCall;
 import org.verbenatally.wire.ForwardResult;
 
-/** Converts forwarded calls and their results from and to frames. */
+/** Converts forwarded calls and their results to and from peer frames. */
 final class ForwardFrames {
     private static final long MAX_DEADLINE_MS = TimeUnit.HOURS.toMillis(2);
     private static final int MAX_STATUS = 599;
@@ -48,7 +48,7 @@
         return frame;
     }
 
-    /** Reads the owner's result; a result that is not valid proves nothing. */
+    /** Reads the owner's result; if it is not valid, the outcome of the call is unknown. */
     static CallResult read(ForwardResult frame) {
         try {
             Outcome outcome = Outcome.parse(frame.getOutcome());
@@ -60,15 +60,15 @@
                     outcome,
                     status,
                     frame.getBody(),
-                    outcome == Outcome.DONE ? Optional.empty() : Optional.of(step(frame.getStep())),
+                    outcome == Outcome.DONE ? Optional.empty() : Optional.of(parseStep(frame.getStep())),
                     frame.getPeer() == null ? "" : frame.getPeer(),
                     frame.getMessage() == null ? "" : frame.getMessage());
         } catch (IllegalArgumentException | NullPointerException e) {
-            return CallResult.failed(Outcome.UNKNOWN, Step.FORWARD, "owner", "the owner's answer is malformed");
+            return CallResult.failed(Outcome.UNKNOWN, Step.FORWARD, "owner", "the owner's response is malformed");
         }
     }
 
-    private static Step step(String text) {
+    private static Step parseStep(String text) {
         if (text == null) {
             return Step.FORWARD;
         }
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyIssuer.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyIssuer.java
@@ -13,13 +13,13 @@
 import org.verbenatally.core.KindName;
 import org.verbenatally.core.OrganisationId;
 
-/** Issues idempotency keys of this run of this instance. An unused key takes no memory. */
+/** Issues the idempotency keys of this incarnation. A key uses no memory until it is used. */
 public final class KeyIssuer {
     private static final int SECRET_BYTES = 32;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final InstanceId self;
-    private final Incarnation run;
+    private final Incarnation incarnation;
     private final LongSupplier nanos;
     private final long startNanos;
     private final byte[] secretBytes = new byte[SECRET_BYTES];
@@ -27,10 +27,14 @@
     private final AtomicLong serial = new AtomicLong();
     private volatile boolean stopped;
 
-    /** Creates an issuer with a new secret. */
-    public KeyIssuer(InstanceId self, Incarnation run, LongSupplier nanos) {
+    /**
+     * Creates an issuer with a new random secret.
+     *
+     * @param nanos monotonic clock, in nanoseconds
+     */
+    public KeyIssuer(InstanceId self, Incarnation incarnation, LongSupplier nanos) {
         this.self = Objects.requireNonNull(self, "self");
-        this.run = Objects.requireNonNull(run, "run");
+        this.incarnation = Objects.requireNonNull(incarnation, "incarnation");
         this.nanos = Objects.requireNonNull(nanos, "nanos");
         this.startNanos = nanos.getAsLong();
         new SecureRandom().nextBytes(secretBytes);
@@ -43,20 +47,26 @@
             return Optional.empty();
         }
         return Optional.of(new IdempotencyKey(
-                        self, run, serial.incrementAndGet(), uptimeMs(), IdempotencyKey.hash(organisation), kind)
-                .write(secret));
+                        self,
+                        incarnation,
+                        serial.incrementAndGet(),
+                        uptimeMs(),
+                        IdempotencyKey.hash(organisation),
+                        kind)
+                .encode(secret));
     }
 
-    /** Issues no more keys. */
+    /** Stops issuing keys. */
     public void stop() {
         stopped = true;
     }
 
-    /** Tells whether a key was issued. */
+    /** Returns whether any key has been issued. */
     public boolean hasIssued() {
         return serial.get() > 0;
     }
 
+    /** Returns the time since this issuer was created, in milliseconds. */
     long uptimeMs() {
         return (nanos.getAsLong() - startNanos) / NANOS_PER_MILLI;
     }
@@ -65,8 +75,8 @@
         return self;
     }
 
-    Incarnation run() {
-        return run;
+    Incarnation incarnation() {
+        return incarnation;
     }
 
     SecretKeySpec secret() {
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
@@ -25,111 +25,113 @@
 import org.verbenatally.wire.KeyTransfer;
 
 /**
- * The key tables that this instance decides about: its own, and those of instances that left and transferred theirs.
- * While tables are being transferred nothing is decided, so that the successor misses no used key. A successor decides
- * only after the sender has announced it: a sender whose transfer was not confirmed decides again itself or picks
- * another successor, and two instances that decide about one key could run it twice.
+ * The key tables for which this instance is the authority: its own, and those transferred to it by leaving instances.
+ * No key is decided while the tables are being transferred, so that the successor receives every used key. A successor
+ * decides only after the sender has announced it. A sender whose transfer was not confirmed resumes deciding or chooses
+ * another successor; if two instances decided about one key, its call could run twice.
  */
 public final class KeyStore {
     private static final Logger LOG = Logger.getLogger(KeyStore.class);
-    /** Most bytes of entries in one part; a frame may have 1 MiB. */
+    /** Maximum size in bytes of the entries in one part; a frame is limited to 1 MiB. */
     private static final int PART_BYTES = 512 * 1024;
-    /** Bytes of an entry beside key and body. */
+    /** Size in bytes that an entry is assumed to take in addition to its key and body. */
     private static final int ENTRY_OVERHEAD = 64;
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    /** Most runs whose tables are held; the oldest is dropped, and its keys become unknown. */
+    /** Maximum number of adopted tables. Beyond it the oldest is dropped, and its keys become unknown. */
     private static final int MAX_ADOPTED = 64;
 
-    private final RunId ownId;
+    private final IncarnationId ownId;
     private final KeyTable own;
     private final KeyIssuer issuer;
     private final TimerService timer;
     private final PeerNetwork peers;
-    private final Map<RunId, Adopted> adopted = new LinkedHashMap<>();
-    private final Map<RunId, List<KeyTransfer>> staged = new HashMap<>();
+    private final Map<IncarnationId, Adopted> adopted = new LinkedHashMap<>();
+    private final Map<IncarnationId, List<KeyTransfer>> receivedParts = new HashMap<>();
     private final ReentrantReadWriteLock lock = new ReentrantReadWriteLock();
-    private CompletableFuture<Void> moving;
+    private CompletableFuture<Void> transferEnd;
     private InstanceId successor;
 
-    private record RunId(InstanceId instance, Incarnation run) {}
+    /** Identifies one incarnation of an instance. */
+    private record IncarnationId(InstanceId instance, Incarnation incarnation) {}
 
-    /** A table that was taken over; {@code active} once the sender has announced this instance as its successor. */
-    private record Adopted(KeyTable table, LongSupplier uptimeMs, RunId sender, AtomicBoolean active) {}
+    /** A table of another incarnation; {@code active} once the sender has announced this instance as its successor. */
+    private record Adopted(KeyTable table, LongSupplier uptimeMs, IncarnationId sender, AtomicBoolean active) {}
 
-    /** Where the decision about a key is made. */
-    sealed interface Place {}
+    /** Where, and whether now, a key is decided. */
+    sealed interface Location {}
 
-    /** Here, with this table. */
-    record Held(KeyTable table) implements Place {}
+    /** This instance decides with this table. */
+    record Local(KeyTable table) implements Location {}
 
-    /** Not now: the tables are being transferred. */
-    record Moving(CompletableFuture<Void> end) implements Place {}
+    /** This instance is transferring its tables; decisions wait until {@code end} completes. */
+    record Transferring(CompletableFuture<Void> end) implements Location {}
 
-    /** At the successor of this instance. */
-    record Moved(InstanceId successor) implements Place {}
+    /** The successor of this instance decides. */
+    record Transferred(InstanceId successor) implements Location {}
 
-    /** Here, once the sender of the table has announced it. */
-    record Announced() implements Place {}
+    /** This instance decides once the sender of the table has announced it as the successor. */
+    record AwaitingAnnouncement() implements Location {}
 
-    /** At another instance. */
-    record Elsewhere() implements Place {}
+    /** Another instance decides. */
+    record Remote() implements Location {}
 
     /**
-     * Creates the tables of one run of this instance.
+     * Creates the key tables of this incarnation.
      *
-     * @param peers knows the members and what they announce
+     * @param peers the members and the key successors they have announced
      */
     KeyStore(KeyIssuer issuer, TimerService timer, PeerNetwork peers) {
         this.issuer = Objects.requireNonNull(issuer, "issuer");
         this.timer = Objects.requireNonNull(timer, "timer");
         this.peers = Objects.requireNonNull(peers, "peers");
-        this.ownId = new RunId(issuer.self(), issuer.run());
+        this.ownId = new IncarnationId(issuer.self(), issuer.incarnation());
         this.own = new KeyTable(issuer.secretBytes(), issuer::uptimeMs);
     }
 
-    /** Calls the decision with the place of a key; the place does not change while the decision runs. */
-    <T> T decide(InstanceId owner, Incarnation run, Function<Place, T> decision) {
+    /** Applies the action to the location of a key. The location does not change while the action runs. */
+    <T> T withLocation(InstanceId owner, Incarnation incarnation, Function<Location, T> action) {
         lock.readLock().lock();
         try {
-            return decision.apply(place(new RunId(owner, run)));
+            return action.apply(locate(new IncarnationId(owner, incarnation)));
         } finally {
             lock.readLock().unlock();
         }
     }
 
-    private Place place(RunId id) {
+    private Location locate(IncarnationId id) {
         boolean isOwn = id.equals(ownId);
         Adopted table = isOwn ? null : adopted.get(id);
         if (!isOwn && table == null) {
-            return new Elsewhere();
+            return new Remote();
         }
         if (!isOwn && !isActive(table)) {
-            return new Announced();
+            return new AwaitingAnnouncement();
         }
-        if (moving != null) {
-            return new Moving(moving);
+        if (transferEnd != null) {
+            return new Transferring(transferEnd);
         }
         if (successor != null) {
-            return new Moved(successor);
+            return new Transferred(successor);
         }
-        return new Held(isOwn ? own : table.table());
+        return new Local(isOwn ? own : table.table());
     }
 
     private boolean isActive(Adopted table) {
         if (!table.active().get()) {
-            RunId sender = table.sender();
-            table.active().set(peers.isKeySuccessorOf(sender.instance(), sender.run()));
+            IncarnationId sender = table.sender();
+            table.active().set(peers.isKeySuccessorOf(sender.instance(), sender.incarnation()));
         }
         return table.active().get();
     }
 
-    int size() {
+    /** Returns the number of used keys that this incarnation issued. */
+    int ownUsedKeys() {
         return own.size();
     }
 
-    /** Tells whether no key needs this instance's memory: it issued none and took over none. */
-    public boolean isUnneeded() {
+    /** Returns whether this instance has neither issued keys nor adopted tables, and can stop without a transfer. */
+    public boolean hasNothingToTransfer() {
         lock.readLock().lock();
         try {
             return !issuer.hasIssued() && adopted.isEmpty();
@@ -138,7 +140,7 @@
         }
     }
 
-    /** Returns the used keys held here, those of adopted tables included. */
+    /** Returns the number of used keys held here, including those of adopted tables. */
     public int used() {
         lock.readLock().lock();
         try {
@@ -149,64 +151,67 @@
         }
     }
 
-    void trim() {
+    /** Removes expired keys whose calls have completed, in all tables. */
+    void evictExpired() {
         lock.writeLock().lock();
         try {
-            own.trim();
-            adopted.values().forEach(a -> a.table().trim());
+            own.evictExpired();
+            adopted.values().forEach(a -> a.table().evictExpired());
         } finally {
             lock.writeLock().unlock();
         }
     }
 
-    /** Stops decisions until {@link #endTransfer}. */
+    /** Suspends all decisions until {@link #endTransfer}. */
     public void beginTransfer() {
         lock.writeLock().lock();
         try {
-            if (moving == null) {
-                moving = new CompletableFuture<>();
+            if (transferEnd == null) {
+                transferEnd = new CompletableFuture<>();
             }
         } finally {
             lock.writeLock().unlock();
         }
     }
 
-    /** Returns the number of calls that have no result yet. */
-    public int open() {
+    /** Returns the number of calls without a result, over all tables. */
+    public int openCalls() {
         lock.readLock().lock();
         try {
-            return own.open()
-                    + adopted.values().stream().mapToInt(a -> a.table().open()).sum();
+            return own.openCalls()
+                    + adopted.values().stream()
+                            .mapToInt(a -> a.table().openCalls())
+                            .sum();
         } finally {
             lock.readLock().unlock();
         }
     }
 
-    /** Returns the parts of each table, this instance's own last. */
-    public List<List<KeyTransfer>> parts() {
+    /** Returns each table split into parts for its transfer; this incarnation's own table is the last. */
+    public List<List<KeyTransfer>> transferParts() {
         lock.readLock().lock();
         try {
             List<List<KeyTransfer>> tables = new ArrayList<>();
             adopted.forEach((id, a) -> {
                 if (isActive(a)) {
-                    tables.add(parts(id, a.table(), a.uptimeMs().getAsLong()));
+                    tables.add(split(id, a.table(), a.uptimeMs().getAsLong()));
                 }
             });
-            tables.add(parts(ownId, own, issuer.uptimeMs()));
+            tables.add(split(ownId, own, issuer.uptimeMs()));
             return tables;
         } finally {
             lock.readLock().unlock();
         }
     }
 
-    private static List<KeyTransfer> parts(RunId id, KeyTable table, long uptimeMs) {
+    private static List<KeyTransfer> split(IncarnationId id, KeyTable table, long uptimeMs) {
         List<KeyTransfer> parts = new ArrayList<>();
         List<KeyEntry> entries = new ArrayList<>();
         int bytes = 0;
-        for (KeyTable.Used used : table.used()) {
+        for (KeyTable.UsedKey used : table.usedKeys()) {
             KeyEntry entry = new KeyEntry(
                     used.key(),
-                    Math.max(0, uptimeMs - used.stampMs()),
+                    Math.max(0, uptimeMs - used.issuedAtMs()),
                     used.result().outcome().text(),
                     used.result().status(),
                     ByteBuffer.wrap(used.result().body()));
@@ -223,19 +228,29 @@
         return parts;
     }
 
-    private static KeyTransfer part(RunId id, KeyTable table, long uptimeMs, List<KeyEntry> entries, boolean last) {
+    private static KeyTransfer part(
+            IncarnationId id, KeyTable table, long uptimeMs, List<KeyEntry> entries, boolean last) {
         return new KeyTransfer(
-                id.instance().value(), id.run().value(), ByteBuffer.wrap(table.secret()), uptimeMs, entries, last);
+                id.instance().value(),
+                id.incarnation().value(),
+                ByteBuffer.wrap(table.secret()),
+                uptimeMs,
+                entries,
+                last);
     }
 
-    /** Ends a transfer; with a successor that confirmed, all further decisions are made there. */
+    /**
+     * Ends a transfer. Decisions that waited for it are made here, or by the successor if there is one.
+     *
+     * @param confirmed the successor that confirmed the transfer and makes all decisions from now on; empty if none did
+     */
     public void endTransfer(Optional<InstanceId> confirmed) {
         CompletableFuture<Void> ended;
         lock.writeLock().lock();
         try {
             confirmed.ifPresent(instance -> successor = instance);
-            ended = moving;
-            moving = null;
+            ended = transferEnd;
+            transferEnd = null;
         } finally {
             lock.writeLock().unlock();
         }
@@ -245,62 +260,65 @@
     }
 
     /**
-     * Takes one part of a leaving instance's table. After the last part this instance decides about its keys as soon as
-     * the sender announces it.
+     * Receives one part of a leaving instance's table. After the last part this instance decides about the table's keys
+     * as soon as the sender announces it as its successor.
      *
      * @throws IllegalArgumentException if the part is not valid
      * @throws IllegalStateException if this instance is leaving too
      */
     public void adopt(InstanceId from, KeyTransfer part) {
-        RunId id = new RunId(new InstanceId(part.getInstance()), new Incarnation(part.getIncarnation()));
+        IncarnationId id =
+                new IncarnationId(new InstanceId(part.getInstance()), new Incarnation(part.getIncarnation()));
         if (part.getSecret().length < 16 || part.getUptimeMs() < 0 || id.equals(ownId)) {
             throw new IllegalArgumentException("key transfer from " + from + " is not valid");
         }
         lock.writeLock().lock();
         try {
-            if (moving != null || successor != null) {
-                throw new IllegalStateException("this instance hands its own keys over");
+            if (transferEnd != null || successor != null) {
+                throw new IllegalStateException("this instance is transferring its own keys");
             }
-            List<KeyTransfer> parts = staged.computeIfAbsent(id, key -> new ArrayList<>());
+            List<KeyTransfer> parts = receivedParts.computeIfAbsent(id, key -> new ArrayList<>());
             parts.add(part);
             int entries = parts.stream().mapToInt(p -> p.getEntriesSize()).sum();
-            if (entries > KeyTable.RECORD_BOUND) {
-                staged.remove(id);
+            if (entries > KeyTable.MAX_USED_KEYS) {
+                receivedParts.remove(id);
                 throw new IllegalArgumentException("key transfer from " + from + " has too many entries");
             }
             if (part.isLast()) {
-                complete(id, staged.remove(id), sender(from));
-                LOG.infof("key: took over %d used keys of %s", entries, id.instance());
+                adoptTable(id, receivedParts.remove(id), sender(from));
+                LOG.infof("key: adopted %d used keys of %s", entries, id.instance());
             }
         } finally {
             lock.writeLock().unlock();
         }
     }
 
-    private RunId sender(InstanceId from) {
+    private IncarnationId sender(InstanceId from) {
         return peers.members().stream()
                 .filter(member -> member.instance().equals(from))
-                .map(member -> new RunId(from, member.incarnation()))
+                .map(member -> new IncarnationId(from, member.incarnation()))
                 .findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("key transfer from " + from + ", which is no member"));
+                .orElseThrow(
+                        () -> new IllegalArgumentException("key transfer from " + from + ", which is not a member"));
     }
 
-    private void complete(RunId id, List<KeyTransfer> parts, RunId sender) {
+    private void adoptTable(IncarnationId id, List<KeyTransfer> parts, IncarnationId sender) {
         long receivedNanos = timer.nanos();
-        long uptimeAtReceipt = parts.getLast().getUptimeMs();
-        LongSupplier uptime = () -> uptimeAtReceipt + (timer.nanos() - receivedNanos) / NANOS_PER_MILLI;
-        Adopted before = adopted.remove(id);
-        KeyTable table = new KeyTable(parts.getLast().getSecret(), uptime);
+        long receivedUptimeMs = parts.getLast().getUptimeMs();
+        LongSupplier uptimeMs = () -> receivedUptimeMs + (timer.nanos() - receivedNanos) / NANOS_PER_MILLI;
+        Adopted previous = adopted.remove(id);
+        KeyTable table = new KeyTable(parts.getLast().getSecret(), uptimeMs);
         for (KeyTransfer part : parts) {
             for (KeyEntry entry : part.getEntries()) {
-                IdempotencyKey.read(entry.getKey())
-                        .ifPresent(key -> table.adopt(new KeyTable.Used(entry.getKey(), key.stampMs(), result(entry))));
+                IdempotencyKey.parse(entry.getKey())
+                        .ifPresent(key ->
+                                table.adopt(new KeyTable.UsedKey(entry.getKey(), key.issuedAtMs(), result(entry))));
             }
         }
-        if (before != null) {
-            before.table().used().forEach(table::adopt);
+        if (previous != null) {
+            previous.table().usedKeys().forEach(table::adopt);
         }
-        adopted.put(id, new Adopted(table, uptime, sender, new AtomicBoolean()));
+        adopted.put(id, new Adopted(table, uptimeMs, sender, new AtomicBoolean()));
         while (adopted.size() > MAX_ADOPTED) {
             adopted.remove(adopted.keySet().iterator().next());
         }
@@ -315,6 +333,6 @@
         }
         return outcome == Outcome.DONE
                 ? CallResult.done(entry.getStatus(), entry.getBody(), "")
-                : CallResult.failed(outcome, Step.SEND, "", "result taken over from an instance that left");
+                : CallResult.failed(outcome, Step.SEND, "", "result adopted from an instance that has left");
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyTable.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyTable.java
@@ -15,52 +15,53 @@
 import org.verbenatally.core.Step;
 
 /**
- * The used keys of one run of one instance, with their final results. A key is recorded before its call is sent, and
- * at most one claim of a key is ever granted. Ages are judged by the uptime of the run alone. Safe for use by several
- * threads.
+ * The used keys of one incarnation of an instance, with their final results. A key is recorded before its call is sent,
+ * and at most one claim of a key is ever granted. The age of a key is measured by the uptime of the incarnation alone.
+ * Safe for use by several threads.
  */
 final class KeyTable {
-    /** Age from which on a key is never run. */
+    /** Age in milliseconds beyond which a key is expired: a call with it is never run. */
     static final long RETENTION_MS = 30 * 60_000L;
-    /** Used keys from which on no further keys are issued. */
-    static final int ISSUE_BOUND = 100_000;
-    /** Used keys from which on none is recorded any more; unused keys that are still out need room. */
-    static final int RECORD_BOUND = 2 * ISSUE_BOUND;
+    /** Number of used keys from which no further keys are issued. */
+    static final int MAX_KEYS_FOR_ISSUING = 100_000;
+    /** Number of used keys from which no further key is recorded; leaves capacity for keys issued but not yet used. */
+    static final int MAX_USED_KEYS = 2 * MAX_KEYS_FOR_ISSUING;
 
-    /** Bytes of stored answers; above that, answers of further calls are not stored, only their outcomes. */
-    private static final long BODY_BOUND = 8L << 20;
+    /** Maximum size in bytes of all stored response bodies; beyond it only the outcomes of further calls are stored. */
+    private static final long MAX_TOTAL_BODY_BYTES = 8L << 20;
 
-    private static final int LARGEST_STORED_BODY = 65_536;
+    /** Maximum size in bytes of a stored response body. */
+    private static final int MAX_STORED_BODY_BYTES = 65_536;
 
     private final SecretKeySpec secret;
     private final byte[] secretBytes;
     private final LongSupplier uptimeMs;
-    private final Map<String, Row> rows = new ConcurrentHashMap<>();
+    private final Map<String, KeyRecord> records = new ConcurrentHashMap<>();
     private final AtomicLong bodyBytes = new AtomicLong();
 
     /**
      * One used key.
      *
-     * @param stampMs uptime of the run when it issued the key
-     * @param bodyHash hash of the call's body, 0 if not known
-     * @param result the result, once there is one
+     * @param issuedAtMs uptime of the incarnation when it issued the key, in milliseconds
+     * @param bodyHash hash of the call's body; 0 if unknown
+     * @param result completes with the final result of the call
      */
-    private record Row(long stampMs, long bodyHash, CompletableFuture<CallResult> result) {
-        boolean isOtherBody(long hash) {
+    private record KeyRecord(long issuedAtMs, long bodyHash, CompletableFuture<CallResult> result) {
+        boolean hasOtherBody(long hash) {
             return bodyHash != 0 && bodyHash != hash;
         }
     }
 
-    /** What a call with a key may do. */
+    /** The decision about a call with a key. */
     sealed interface Claim {}
 
-    /** The call must be run now, and its result be given to {@link KeyTable#finish}. */
+    /** The call must be run now, and its result be passed to {@link KeyTable#finish}. */
     record Granted() implements Claim {}
 
-    /** The call was presented before; its result is or will be in the future. */
-    record Copy(CompletableFuture<CallResult> result) implements Claim {}
+    /** The key was claimed before; the future holds the result of that call, or will once it completes. */
+    record Duplicate(CompletableFuture<CallResult> result) implements Claim {}
 
-    /** Nothing is known about the key and it must not be run. */
+    /** It is unknown whether a call with the key has run, and this one must not be run. */
     record Unknown(String reason) implements Claim {}
 
     KeyTable(byte[] secret, LongSupplier uptimeMs) {
@@ -69,124 +70,134 @@
         this.uptimeMs = Objects.requireNonNull(uptimeMs, "uptimeMs");
     }
 
-    boolean isGenuine(String key) {
-        return IdempotencyKey.isGenuine(key, secret);
+    boolean hasValidSignature(String key) {
+        return IdempotencyKey.hasValidSignature(key, secret);
     }
 
-    /** Claims a genuine key. Of all claims of a key, at most one is granted. */
+    /** Claims a key whose signature was verified. Of all claims of a key, at most one is granted. */
     Claim claim(String key, IdempotencyKey parsed, long bodyHash) {
-        Row present = rows.get(key);
-        if (present != null) {
-            return copy(present, bodyHash);
+        KeyRecord existing = records.get(key);
+        if (existing != null) {
+            return duplicate(existing, bodyHash);
         }
         if (isExpired(parsed)) {
             return expired();
         }
-        if (rows.size() >= RECORD_BOUND) {
+        if (records.size() >= MAX_USED_KEYS) {
             return new Unknown("too many keys are in use");
         }
-        Row row = new Row(parsed.stampMs(), bodyHash, new CompletableFuture<>());
-        Row before = rows.putIfAbsent(key, row);
-        if (before != null) {
-            return copy(before, bodyHash);
+        KeyRecord keyRecord = new KeyRecord(parsed.issuedAtMs(), bodyHash, new CompletableFuture<>());
+        KeyRecord concurrent = records.putIfAbsent(key, keyRecord);
+        if (concurrent != null) {
+            return duplicate(concurrent, bodyHash);
         }
         if (isExpired(parsed)) {
-            // Between the first check and the insertion, another claim may have run, expired and been trimmed.
-            row.result().complete(CallResult.failed(Outcome.UNKNOWN, Step.ADMIT, "", "the key has expired"));
+            // Between the first check and the insertion, another claim may have run, expired and been evicted.
+            keyRecord.result().complete(CallResult.failed(Outcome.UNKNOWN, Step.ADMIT, "", "the key has expired"));
             return expired();
         }
         return new Granted();
     }
 
-    private static Claim copy(Row row, long bodyHash) {
-        return row.isOtherBody(bodyHash)
+    private static Claim duplicate(KeyRecord keyRecord, long bodyHash) {
+        return keyRecord.hasOtherBody(bodyHash)
                 ? new Unknown("the key was used for a call with another body")
-                : new Copy(row.result());
+                : new Duplicate(keyRecord.result());
     }
 
     private boolean isExpired(IdempotencyKey parsed) {
-        return uptimeMs.getAsLong() - parsed.stampMs() > RETENTION_MS;
+        return uptimeMs.getAsLong() - parsed.issuedAtMs() > RETENTION_MS;
     }
 
-    /** The row may have been dropped after a run, so nothing can be said about earlier copies. */
+    /** The record of an expired key may have been evicted after its call ran, so the outcome is unknown. */
     private static Unknown expired() {
         return new Unknown("the key is older than " + RETENTION_MS / 60_000 + " minutes");
     }
 
-    /** Stores the final result of a granted claim and answers the waiting copies. */
+    /** Stores the final result of a granted claim and completes the duplicates that wait for it. */
     void finish(String key, CallResult result) {
-        Row row = rows.get(key);
-        if (row == null) {
-            throw new IllegalStateException("a key without a claim cannot be finished");
+        KeyRecord keyRecord = records.get(key);
+        if (keyRecord == null) {
+            throw new IllegalStateException("a key that was not claimed cannot be finished");
         }
-        if (!row.result().complete(result)) {
+        if (!keyRecord.result().complete(result)) {
             return;
         }
-        // Copies that wait have the whole answer; later ones get what is stored.
+        // Duplicates that were waiting have received the complete response; later ones get what is stored.
         if (!store(result)) {
-            rows.replace(
+            records.replace(
                     key,
-                    new Row(row.stampMs(), row.bodyHash(), CompletableFuture.completedFuture(result.withoutBody())));
+                    new KeyRecord(
+                            keyRecord.issuedAtMs(),
+                            keyRecord.bodyHash(),
+                            CompletableFuture.completedFuture(result.withoutBody())));
         }
     }
 
     private boolean store(CallResult result) {
         int size = result.body().length;
-        if (size > LARGEST_STORED_BODY || bodyBytes.get() + size > BODY_BOUND) {
+        if (size > MAX_STORED_BODY_BYTES || bodyBytes.get() + size > MAX_TOTAL_BODY_BYTES) {
             return size == 0;
         }
         bodyBytes.addAndGet(size);
         return true;
     }
 
-    /** Drops rows whose keys have expired and whose calls have ended. */
-    void trim() {
+    /** Removes expired keys whose calls have completed. */
+    void evictExpired() {
         long uptime = uptimeMs.getAsLong();
-        rows.entrySet().removeIf(entry -> {
-            Row row = entry.getValue();
-            boolean drop = uptime - row.stampMs() > RETENTION_MS && row.result().isDone();
-            if (drop) {
-                bodyBytes.addAndGet(-row.result().join().body().length);
+        records.entrySet().removeIf(entry -> {
+            KeyRecord keyRecord = entry.getValue();
+            boolean evict = uptime - keyRecord.issuedAtMs() > RETENTION_MS
+                    && keyRecord.result().isDone();
+            if (evict) {
+                bodyBytes.addAndGet(-keyRecord.result().join().body().length);
             }
-            return drop;
+            return evict;
         });
     }
 
     int size() {
-        return rows.size();
+        return records.size();
     }
 
-    /** Returns the number of calls that have no result yet. */
-    int open() {
-        return (int)
-                rows.values().stream().filter(row -> !row.result().isDone()).count();
+    /** Returns the number of calls without a result. */
+    int openCalls() {
+        return (int) records.values().stream()
+                .filter(keyRecord -> !keyRecord.result().isDone())
+                .count();
     }
 
     byte[] secret() {
         return secretBytes.clone();
     }
 
-    /** One used key. */
-    record Used(String key, long stampMs, CallResult result) {}
+    /**
+     * A used key in a transfer.
+     *
+     * @param issuedAtMs uptime of the issuing incarnation when it issued the key, in milliseconds
+     */
+    record UsedKey(String key, long issuedAtMs, CallResult result) {}
 
-    /** Returns the used keys; a call that is still open has the outcome {@code UNKNOWN}. */
-    List<Used> used() {
-        List<Used> used = new ArrayList<>(rows.size());
-        rows.forEach((key, row) -> used.add(new Used(
+    /** Returns the used keys; a call without a result yet has the outcome {@code UNKNOWN}. */
+    List<UsedKey> usedKeys() {
+        List<UsedKey> usedKeys = new ArrayList<>(records.size());
+        records.forEach((key, keyRecord) -> usedKeys.add(new UsedKey(
                 key,
-                row.stampMs(),
-                row.result()
+                keyRecord.issuedAtMs(),
+                keyRecord
+                        .result()
                         .getNow(CallResult.failed(
                                 Outcome.UNKNOWN, Step.SEND, "", "the entry that ran the call stopped")))));
-        return used;
+        return usedKeys;
     }
 
-    /** Takes a used key of a transferred table. */
-    void adopt(Used used) {
-        if (rows.containsKey(used.key())) {
+    /** Adds a used key of a transferred table, unless it is present already. */
+    void adopt(UsedKey used) {
+        if (records.containsKey(used.key())) {
             return;
         }
         CallResult result = store(used.result()) ? used.result() : used.result().withoutBody();
-        rows.putIfAbsent(used.key(), new Row(used.stampMs(), 0, CompletableFuture.completedFuture(result)));
+        records.putIfAbsent(used.key(), new KeyRecord(used.issuedAtMs(), 0, CompletableFuture.completedFuture(result)));
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
@@ -23,21 +23,24 @@
 import org.verbenatally.wire.ForwardResult;
 
 /**
- * Calls with idempotency keys: decides about the keys that this instance owns and forwards all others to their owners.
- * Only the owner may say that a call was not run. Safe for use by several threads.
+ * Handles calls with idempotency keys: decides about the keys that this instance owns and forwards all other calls to
+ * the owners of their keys. Only the owner may report that a call was not run. Safe for use by several threads.
  */
 public final class KeyedCalls {
-    /** Largest body of a keyed call; a forwarded call must fit into one frame between entries. */
+    /** Maximum size in bytes of the body of a keyed call; a forwarded call must fit into one frame between entries. */
     public static final int MAX_BODY_BYTES = 960 * 1024;
 
     private static final Logger LOG = Logger.getLogger(KeyedCalls.class);
-    /** Time for the way to the owner and back, beyond the call's own deadline. */
-    private static final Duration FORWARD_SLACK = Duration.ofMillis(500);
+    /** Time beyond the call's own deadline that is allowed for the round trip to the owner. */
+    private static final Duration FORWARD_MARGIN = Duration.ofMillis(500);
 
-    /** An announcement travels on the link on which the table came; it takes milliseconds. */
-    private static final Duration ANNOUNCEMENT_LOOK = Duration.ofMillis(50);
+    /**
+     * Interval at which the announcement of a transfer is checked for. It is sent on the same link as the table and
+     * arrives within milliseconds.
+     */
+    private static final Duration ANNOUNCEMENT_POLL_INTERVAL = Duration.ofMillis(50);
 
-    private static final int ANNOUNCEMENT_LOOKS = 20;
+    private static final int MAX_ANNOUNCEMENT_POLLS = 20;
 
     private final KeyIssuer issuer;
     private final KeyStore store;
@@ -47,11 +50,11 @@
     private final AtomicLong callIds = new AtomicLong();
 
     /**
-     * Creates the calls of one run of this instance.
+     * Creates the handler of keyed calls for this incarnation.
      *
-     * @param issuer issues this instance's keys
+     * @param issuer issues the keys of this incarnation
      * @param runner runs a call once its key is recorded
-     * @param peers links to the owners of other keys
+     * @param peers links to the owners of all other keys
      * @param timer timer service
      */
     public KeyedCalls(KeyIssuer issuer, CallRunner runner, PeerNetwork peers, TimerService timer) {
@@ -60,82 +63,92 @@
         this.peers = Objects.requireNonNull(peers, "peers");
         this.timer = Objects.requireNonNull(timer, "timer");
         this.store = new KeyStore(issuer, timer, peers);
-        timer.every(Duration.ofSeconds(10), tick -> store.trim());
+        timer.every(Duration.ofSeconds(10), tick -> store.evictExpired());
     }
 
-    /** Returns the tables, for their transfer. */
+    /** Returns the store of the key tables. */
     public KeyStore store() {
         return store;
     }
 
-    /** Issues a key, or returns empty if this instance is leaving or holds too many used keys. */
+    /** Issues a key; returns empty if this instance is leaving or holds too many used keys. */
     public Optional<String> issue(OrganisationId organisation, KindName kind) {
-        return store.size() >= KeyTable.ISSUE_BOUND ? Optional.empty() : issuer.issue(organisation, kind);
+        return store.ownUsedKeys() >= KeyTable.MAX_KEYS_FOR_ISSUING
+                ? Optional.empty()
+                : issuer.issue(organisation, kind);
     }
 
-    /** Issues no more keys. */
+    /** Stops issuing keys. */
     public void stopIssuing() {
         issuer.stop();
     }
 
-    /** Runs a call, or returns the result of an earlier copy. The future never fails. */
+    /** Runs a call, or returns the result of an earlier call with the same key. The future never fails. */
     public CompletableFuture<CallResult> call(CallRunner.Call call) {
         return call(call, true);
     }
 
     private CompletableFuture<CallResult> call(CallRunner.Call call, boolean mayForward) {
-        Optional<IdempotencyKey> parsed = IdempotencyKey.read(call.key());
+        Optional<IdempotencyKey> parsed = IdempotencyKey.parse(call.key());
         if (parsed.isEmpty()) {
-            return done(notRun("the text is no idempotency key"));
+            return completed(notRun("the text is not an idempotency key"));
         }
         IdempotencyKey key = parsed.get();
         if (!key.kind().equals(call.kind()) || key.organisationHash() != IdempotencyKey.hash(call.organisation())) {
-            return done(notRun("the key was issued for another organisation or kind"));
+            return completed(notRun("the key was issued for another organisation or kind"));
         }
-        return store.<CompletableFuture<CallResult>>decide(key.owner(), key.run(), place -> switch (place) {
-            case KeyStore.Held held -> decide(held.table(), key, call);
-            case KeyStore.Moving moving -> moving.end().thenCompose(end -> call(call, mayForward));
-            case KeyStore.Moved moved ->
-                mayForward
-                        ? forward(moved.successor(), key, call)
-                        : done(unknown(Step.FORWARD, moved.successor().value(), "the key was handed over"));
-            case KeyStore.Announced announced ->
-                mayForward ? forward(key.owner(), key, call) : afterAnnouncement(call, ANNOUNCEMENT_LOOKS);
-            case KeyStore.Elsewhere elsewhere ->
-                mayForward
-                        ? forward(key.owner(), key, call)
-                        : done(unknown(Step.FORWARD, issuer.self().value(), "this instance does not own the key"));
-        });
+        return store.<CompletableFuture<CallResult>>withLocation(
+                key.owner(), key.incarnation(), location -> switch (location) {
+                    case KeyStore.Local local -> claim(local.table(), key, call);
+                    case KeyStore.Transferring transferring ->
+                        transferring.end().thenCompose(end -> call(call, mayForward));
+                    case KeyStore.Transferred transferred ->
+                        mayForward
+                                ? forward(transferred.successor(), key, call)
+                                : completed(unknown(
+                                        Step.FORWARD,
+                                        transferred.successor().value(),
+                                        "the key was transferred to another instance"));
+                    case KeyStore.AwaitingAnnouncement announced ->
+                        mayForward ? forward(key.owner(), key, call) : awaitAnnouncement(call, MAX_ANNOUNCEMENT_POLLS);
+                    case KeyStore.Remote remote ->
+                        mayForward
+                                ? forward(key.owner(), key, call)
+                                : completed(unknown(
+                                        Step.FORWARD, issuer.self().value(), "this instance does not own the key"));
+                });
     }
 
-    /** Looks again while the announcement of a transfer may be on its way. */
-    private CompletableFuture<CallResult> afterAnnouncement(CallRunner.Call call, int looks) {
+    /** Waits for the announcement of a transfer that may still be in transit, then runs the call. */
+    private CompletableFuture<CallResult> awaitAnnouncement(CallRunner.Call call, int remainingPolls) {
         CompletableFuture<CallResult> result = new CompletableFuture<>();
-        timer.after(ANNOUNCEMENT_LOOK, () -> {
-            boolean announced = IdempotencyKey.read(call.key())
-                    .map(key -> store.<Boolean>decide(
-                            key.owner(), key.run(), place -> !(place instanceof KeyStore.Announced)))
+        timer.after(ANNOUNCEMENT_POLL_INTERVAL, () -> {
+            boolean announced = IdempotencyKey.parse(call.key())
+                    .map(key -> store.<Boolean>withLocation(
+                            key.owner(),
+                            key.incarnation(),
+                            location -> !(location instanceof KeyStore.AwaitingAnnouncement)))
                     .orElse(true);
             CompletableFuture<CallResult> next = announced
                     ? call(call, false)
-                    : looks > 1
-                            ? afterAnnouncement(call, looks - 1)
-                            : done(unknown(Step.FORWARD, issuer.self().value(), "the key is being handed over"));
+                    : remainingPolls > 1
+                            ? awaitAnnouncement(call, remainingPolls - 1)
+                            : completed(unknown(Step.FORWARD, issuer.self().value(), "the key is being transferred"));
             next.thenAccept(result::complete);
         });
         return result;
     }
 
-    private CompletableFuture<CallResult> decide(KeyTable table, IdempotencyKey key, CallRunner.Call call) {
-        if (!table.isGenuine(call.key())) {
-            return done(notRun("the key is not genuine"));
+    private CompletableFuture<CallResult> claim(KeyTable table, IdempotencyKey key, CallRunner.Call call) {
+        if (!table.hasValidSignature(call.key())) {
+            return completed(notRun("the signature of the key is not valid"));
         }
         long bodyHash = Hashing.komihash5_0().hashBytesToLong(call.body()) | 1;
         return switch (table.claim(call.key(), key, bodyHash)) {
             case KeyTable.Granted granted -> run(table, call);
-            case KeyTable.Copy copy -> untilDeadline(copy.result(), call);
+            case KeyTable.Duplicate duplicate -> awaitUntilDeadline(duplicate.result(), call);
             case KeyTable.Unknown unknown ->
-                done(unknown(Step.ADMIT, issuer.self().value(), unknown.reason()));
+                completed(unknown(Step.ADMIT, issuer.self().value(), unknown.reason()));
         };
     }
 
@@ -145,7 +158,7 @@
             running = runner.run(call);
         } catch (RuntimeException e) {
             LOG.errorf(e, "key: the runner failed to start request %s", call.request());
-            running = done(unknown(Step.SEND, issuer.self().value(), "internal error"));
+            running = completed(unknown(Step.SEND, issuer.self().value(), "internal error"));
         }
         return running.exceptionally(e -> {
                     LOG.errorf(e, "key: the runner failed for request %s", call.request());
@@ -157,36 +170,38 @@
                 });
     }
 
-    private CompletableFuture<CallResult> untilDeadline(CompletableFuture<CallResult> result, CallRunner.Call call) {
-        long left = Math.max(1, call.deadlineNanos() - timer.nanos());
-        CallResult running = unknown(Step.SEND, issuer.self().value(), "an earlier copy of the call still runs");
-        return result.copy().completeOnTimeout(running, left, TimeUnit.NANOSECONDS);
+    private CompletableFuture<CallResult> awaitUntilDeadline(
+            CompletableFuture<CallResult> result, CallRunner.Call call) {
+        long remainingNanos = Math.max(1, call.deadlineNanos() - timer.nanos());
+        CallResult running =
+                unknown(Step.SEND, issuer.self().value(), "an earlier call with the same key is still running");
+        return result.copy().completeOnTimeout(running, remainingNanos, TimeUnit.NANOSECONDS);
     }
 
     private CompletableFuture<CallResult> forward(InstanceId to, IdempotencyKey key, CallRunner.Call call) {
-        long leftMs = TimeUnit.NANOSECONDS.toMillis(call.deadlineNanos() - timer.nanos());
+        long remainingMs = TimeUnit.NANOSECONDS.toMillis(call.deadlineNanos() - timer.nanos());
         ForwardCall frame = new ForwardCall(
                 callIds.incrementAndGet(),
                 call.request(),
                 call.organisation().value(),
                 call.kind().value(),
                 call.key(),
-                Math.max(0, leftMs),
+                Math.max(0, remainingMs),
                 ByteBuffer.wrap(call.body()));
-        Duration timeout = Duration.ofMillis(Math.max(0, leftMs)).plus(FORWARD_SLACK);
-        // A successor runs under its own incarnation; the owner must be the run that issued the key.
-        var run = to.equals(key.owner())
-                ? Optional.of(key.run())
+        Duration timeout = Duration.ofMillis(Math.max(0, remainingMs)).plus(FORWARD_MARGIN);
+        // A successor has its own incarnation; an owner must be the incarnation that issued the key.
+        var incarnation = to.equals(key.owner())
+                ? Optional.of(key.incarnation())
                 : peers.members().stream()
                         .filter(member -> member.instance().equals(to))
                         .map(member -> member.incarnation())
                         .findFirst();
-        if (run.isEmpty()) {
-            return done(unknown(Step.FORWARD, to.value(), "the key's successor is not known"));
+        if (incarnation.isEmpty()) {
+            return completed(unknown(Step.FORWARD, to.value(), "the successor of the key's owner is not known"));
         }
         CompletableFuture<ForwardResult> sent;
         try {
-            sent = peers.forward(to, run.get(), frame, timeout);
+            sent = peers.forward(to, incarnation.get(), frame, timeout);
         } catch (RuntimeException e) {
             sent = CompletableFuture.failedFuture(e);
         }
@@ -199,15 +214,15 @@
         return unknown(Step.FORWARD, to.value(), message);
     }
 
-    /** Runs a call that a peer forwarded. The future never fails. */
+    /** Handles a call that a peer forwarded. The future never fails. */
     public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall frame) {
         Optional<CallRunner.Call> call = ForwardFrames.read(frame, timer.nanos());
         CompletableFuture<CallResult> result =
-                call.isEmpty() ? done(notRun("the forwarded call is malformed")) : call(call.get(), false);
+                call.isEmpty() ? completed(notRun("the forwarded call is malformed")) : call(call.get(), false);
         return result.thenApply(r -> ForwardFrames.write(frame.getCallId(), r));
     }
 
-    private static CompletableFuture<CallResult> done(CallResult result) {
+    private static CompletableFuture<CallResult> completed(CallResult result) {
         return CompletableFuture.completedFuture(result);
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/key/Signature.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/Signature.java
@@ -8,18 +8,18 @@
 import java.util.Arrays;
 
 /**
- * Signs stream tokens and idempotency keys with HMAC-SHA256. The result is cut to 128 bits, which RFC 2104 permits, as
- * stream tokens stand in each event.
+ * Signs stream tokens and idempotency keys with HMAC-SHA256. Signatures are truncated to 128 bits, which RFC 2104
+ * permits, because every event carries a stream token.
  */
 public final class Signature {
-    /** Length of a signature. */
+    /** Length of a signature in bytes. */
     public static final int BYTES = 16;
 
     private static final String ALGORITHM = "HmacSHA256";
 
     private Signature() {}
 
-    /** Returns the key for some secret bytes. */
+    /** Returns the signing key made of the given secret bytes. */
     public static SecretKeySpec secret(byte[] bytes) {
         return new SecretKeySpec(bytes, ALGORITHM);
     }
@@ -32,11 +32,11 @@
             mac.update(bytes, 0, length);
             return Arrays.copyOf(mac.doFinal(), BYTES);
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException("the platform must provide " + ALGORITHM, e);
+            throw new IllegalStateException("the Java runtime must provide " + ALGORITHM, e);
         }
     }
 
-    /** Tells, in constant time, whether bytes end with the signature of all that stands before it. */
+    /** Returns whether the bytes end with the signature of all bytes before it; compares in constant time. */
     public static boolean isSigned(SecretKeySpec secret, byte[] bytes) {
         int length = bytes.length - BYTES;
         return MessageDigest.isEqual(sign(secret, bytes, length), Arrays.copyOfRange(bytes, length, bytes.length));
--- a/entry/src/main/java/org/verbenatally/entry/package-info.java
+++ b/entry/src/main/java/org/verbenatally/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry process: takes requests from callers and routes them to targets. */
+/** The entry process, which accepts requests from callers and routes them to targets. */
 package org.verbenatally.entry;
--- a/entry/src/test/java/org/verbenatally/entry/CallersContractTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/CallersContractTest.java
@@ -234,6 +234,6 @@
         HttpResponse<String> refused = entry.call("POST", "/v1/work/check", "{}");
         assertThat(problem(refused, 503, "stopping").getString("outcome")).isEqualTo("not-run");
         assertThat(open.body().reduce("", (a, b) -> a + b)).contains("\"type\":\"deadline\"");
-        entry.server.drained().join();
+        entry.server.closeFuture().join();
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/EntryFixture.java
+++ b/entry/src/test/java/org/verbenatally/entry/EntryFixture.java
@@ -24,7 +24,7 @@
 
 /** One entry in this process with fake engines, services and platform, and a client for its callers. */
 final class EntryFixture implements AutoCloseable {
-    private static final Duration BOUND = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     final Queue<String> engineFaults = new ConcurrentLinkedQueue<>();
     final Queue<String> serviceFaults = new ConcurrentLinkedQueue<>();
@@ -36,7 +36,7 @@
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(BOUND)
+            .connectTimeout(TIMEOUT)
             .build();
 
     EntryFixture() throws Exception {
@@ -145,10 +145,10 @@
     }
 
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + BOUND.toNanos();
+        long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("condition did not come true in " + BOUND);
+                throw new AssertionError("condition did not come true in " + TIMEOUT);
             }
             Thread.onSpinWait();
         }
@@ -185,7 +185,7 @@
 
     private static HttpRequest request(int port, String method, String path, String body) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-                .timeout(BOUND)
+                .timeout(TIMEOUT)
                 .method(
                         method,
                         body == null ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body))
@@ -210,7 +210,7 @@
     @Override
     public void close() {
         server.close();
-        server.drained().join();
+        server.closeFuture().join();
         vertx.close().toCompletionStage().toCompletableFuture().join();
         client.shutdownNow();
     }
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
@@ -36,21 +36,21 @@
     private final Map<InstanceId, Node> nodes = new ConcurrentHashMap<>();
     private final Map<Announcement, InstanceId> announcements = new ConcurrentHashMap<>();
 
-    private record Announcement(InstanceId owner, Incarnation run) {}
+    private record Announcement(InstanceId owner, Incarnation incarnation) {}
 
     /** One entry. */
     final class Node implements PeerNetwork {
         private final InstanceId id;
-        private final Incarnation run;
+        private final Incarnation incarnation;
         final KeyedCalls calls;
         volatile boolean reachable = true;
         volatile CallRunner runner = call -> CompletableFuture.completedFuture(
                 CallResult.done(200, ("{\"run\":" + count(call.key()) + "}").getBytes(), "service"));
 
-        Node(String name, long incarnation) {
+        Node(String name, long number) {
             id = new InstanceId(name);
-            run = new Incarnation(incarnation);
-            KeyIssuer issuer = new KeyIssuer(id, run, timer::nanos);
+            incarnation = new Incarnation(number);
+            KeyIssuer issuer = new KeyIssuer(id, incarnation, timer::nanos);
             calls = new KeyedCalls(issuer, call -> runner.run(call), this, timer);
         }
 
@@ -69,7 +69,7 @@
 
         void transferTo(Node successor) {
             sendTables(successor);
-            announcements.put(new Announcement(id, run), successor.id);
+            announcements.put(new Announcement(id, incarnation), successor.id);
             calls.store().endTransfer(Optional.of(successor.id));
         }
 
@@ -81,7 +81,7 @@
 
         private void sendTables(Node successor) {
             calls.store().beginTransfer();
-            for (List<KeyTransfer> table : calls.store().parts()) {
+            for (List<KeyTransfer> table : calls.store().transferParts()) {
                 table.forEach(part -> successor.calls.store().adopt(id, part));
             }
         }
@@ -93,7 +93,7 @@
 
         @Override
         public Incarnation incarnation() {
-            return run;
+            return incarnation;
         }
 
         @Override
@@ -102,7 +102,7 @@
             nodes.values()
                     .forEach(node -> members.add(new MemberInfo(
                             node.id,
-                            node.run,
+                            node.incarnation,
                             new Address("127.0.0.1", 1),
                             new FailureDomain("Bole"),
                             MemberInfo.Status.LIVE,
@@ -113,9 +113,9 @@
 
         @Override
         public CompletableFuture<ForwardResult> forward(
-                InstanceId owner, Incarnation ownerRun, ForwardCall call, Duration timeout) {
+                InstanceId owner, Incarnation ownerIncarnation, ForwardCall call, Duration timeout) {
             Node node = nodes.get(owner);
-            if (node == null || !node.reachable || !node.run.equals(ownerRun)) {
+            if (node == null || !node.reachable || !node.incarnation.equals(ownerIncarnation)) {
                 return CompletableFuture.failedFuture(
                         new StepException(Step.FORWARD, owner.value(), Outcome.UNKNOWN, "cannot be reached"));
             }
@@ -131,8 +131,8 @@
         public void announceKeySuccessor(InstanceId successor) {}
 
         @Override
-        public boolean isKeySuccessorOf(InstanceId owner, Incarnation ownerRun) {
-            return id.equals(announcements.get(new Announcement(owner, ownerRun)));
+        public boolean isKeySuccessorOf(InstanceId owner, Incarnation ownerIncarnation) {
+            return id.equals(announcements.get(new Announcement(owner, ownerIncarnation)));
         }
 
         @Override
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyTableTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyTableTest.java
@@ -31,7 +31,7 @@
     }
 
     private KeyTable.Claim claim(String key) {
-        return table.claim(key, IdempotencyKey.read(key).orElseThrow(), 1);
+        return table.claim(key, IdempotencyKey.parse(key).orElseThrow(), 1);
     }
 
     /** Guards against two runs of one key when copies arrive at the same time. */
@@ -65,8 +65,12 @@
                 int run = fleet.count(key);
                 table.finish(key, CallResult.done(200, new byte[] {(byte) run}, "s"));
             }
-            case KeyTable.Copy copy ->
-                assertThat(copy.result().orTimeout(20, TimeUnit.SECONDS).join().outcome())
+            case KeyTable.Duplicate duplicate ->
+                assertThat(duplicate
+                                .result()
+                                .orTimeout(20, TimeUnit.SECONDS)
+                                .join()
+                                .outcome())
                         .isEqualTo(Outcome.DONE);
             case KeyTable.Unknown unknown -> throw new AssertionError(unknown.reason());
         }
@@ -77,12 +81,12 @@
     void copyWaitsForTheResultOfTheRunningCall() {
         String key = issue();
         assertThat(claim(key)).isInstanceOf(KeyTable.Granted.class);
-        CompletableFuture<CallResult> copy = ((KeyTable.Copy) claim(key)).result();
-        assertThat(copy).isNotDone();
+        CompletableFuture<CallResult> duplicate = ((KeyTable.Duplicate) claim(key)).result();
+        assertThat(duplicate).isNotDone();
 
         table.finish(key, CallResult.done(201, new byte[] {1}, "s"));
 
-        assertThat(copy.join().status()).isEqualTo(201);
+        assertThat(duplicate.join().status()).isEqualTo(201);
     }
 
     /** Guards against unbounded memory: an answer too large to store leaves only its outcome. */
@@ -92,7 +96,7 @@
         claim(key);
         table.finish(key, CallResult.done(200, new byte[100_000], "s"));
 
-        CallResult later = ((KeyTable.Copy) claim(key)).result().join();
+        CallResult later = ((KeyTable.Duplicate) claim(key)).result().join();
 
         assertThat(later.outcome()).isEqualTo(Outcome.DONE);
         assertThat(later.body()).isEmpty();
@@ -108,10 +112,10 @@
         table.finish(ended, CallResult.done(200, new byte[0], "s"));
         timer.advance(Duration.ofMillis(KeyTable.RETENTION_MS + 1));
 
-        table.trim();
+        table.evictExpired();
 
         assertThat(table.size()).isEqualTo(1);
-        assertThat(claim(running)).isInstanceOf(KeyTable.Copy.class);
+        assertThat(claim(running)).isInstanceOf(KeyTable.Duplicate.class);
     }
 
     /** Guards against two rows, and so two runs, for two spellings of one key. */
@@ -122,10 +126,10 @@
             String other = key.substring(0, key.length() - 1)
                     + "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_".charAt(i);
             boolean same = other.equals(key);
-            boolean accepted = IdempotencyKey.read(other).isPresent() && table.isGenuine(other);
+            boolean accepted = IdempotencyKey.parse(other).isPresent() && table.hasValidSignature(other);
             assertThat(accepted).isEqualTo(same);
         }
-        assertThat(IdempotencyKey.read(key + "=")).isEmpty();
-        assertThat(IdempotencyKey.read(key + "7")).isEmpty();
+        assertThat(IdempotencyKey.parse(key + "=")).isEmpty();
+        assertThat(IdempotencyKey.parse(key + "7")).isEmpty();
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
@@ -77,7 +77,7 @@
             a.call(key).join();
         }
         fleet.timer.advance(Duration.ofMillis(KeyTable.RETENTION_MS + 1));
-        a.calls.store().trim();
+        a.calls.store().evictExpired();
 
         assertThat(a.outcome(key)).isEqualTo(Outcome.UNKNOWN);
         assertThat(fleet.runsOf(key)).isEqualTo(usedBefore ? 1 : 0);
