--- a/entry/src/main/java/org/verbenatally/entry/EntryServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/EntryServer.java
@@ -118,8 +118,8 @@
                 settings.getInstance(), config, peers, targets, callers, dispatcher, metrics, this::notReadyReason);
         OperatorServer operator = new OperatorServer(
                 vertx,
-                new OperatorServer.Views(
-                        this::notReadyReason, status::status, status::burn, metrics, log, this::drain));
+                new OperatorServer.Components(
+                        this::notReadyReason, status::status, status::errorBudget, metrics, log, this::drain));
         return new Ports(
                 await(callers.listen(settings.getCallers())),
                 await(operator.listen(settings.getOperator())),
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -38,7 +38,7 @@
     private final CallerServer callers;
     private final Dispatcher dispatcher;
     private final EntryMetrics metrics;
-    private final Supplier<Optional<String>> notReady;
+    private final Supplier<Optional<String>> notReadyReason;
 
     StatusView(
             String instance,
@@ -48,7 +48,7 @@
             CallerServer callers,
             Dispatcher dispatcher,
             EntryMetrics metrics,
-            Supplier<Optional<String>> notReady) {
+            Supplier<Optional<String>> notReadyReason) {
         this.instance = Objects.requireNonNull(instance, "instance");
         this.config = Objects.requireNonNull(config, "config");
         this.peers = Objects.requireNonNull(peers, "peers");
@@ -56,12 +56,12 @@
         this.callers = Objects.requireNonNull(callers, "callers");
         this.dispatcher = Objects.requireNonNull(dispatcher, "dispatcher");
         this.metrics = Objects.requireNonNull(metrics, "metrics");
-        this.notReady = Objects.requireNonNull(notReady, "notReady");
+        this.notReadyReason = Objects.requireNonNull(notReadyReason, "notReadyReason");
     }
 
-    /** Returns the state of this entry, its peers and its targets. */
+    /** Returns the state of this entry, the members that it knows and its targets. */
     JsonObject status() {
-        Optional<String> reason = notReady.get();
+        Optional<String> reason = notReadyReason.get();
         JsonObject json = new JsonObject()
                 .put("instance", instance)
                 .put("incarnation", peers.incarnation().toString())
@@ -119,9 +119,9 @@
     }
 
     /** Returns the consumption of the error budget, by kind and by organisation. */
-    JsonObject burn() {
+    JsonObject errorBudget() {
         return metrics.budget()
-                .burn(config.deployment().map(d -> d.levels().objective()).orElse(DEFAULT_OBJECTIVE))
+                .report(config.deployment().map(d -> d.levels().objective()).orElse(DEFAULT_OBJECTIVE))
                 .put("instance", instance);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/operator/EntryMetrics.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/EntryMetrics.java
@@ -14,13 +14,14 @@
 
 /** The metrics of an entry process. Labels are kinds (at most 64), outcomes and steps, never callers or requests. */
 public final class EntryMetrics {
-    private static final Duration[] FIRST_TOKEN_BOUNDS = bounds(60, 120, 240, 480, 960, 1_920, 3_840, 7_680, 30_000);
-    private static final Duration[] GAP_BOUNDS = bounds(13, 27, 54, 108, 216, 432, 1_000, 2_000, 10_000);
+    private static final Duration[] FIRST_TOKEN_BUCKETS = buckets(60, 120, 240, 480, 960, 1_920, 3_840, 7_680, 30_000);
+    private static final Duration[] TOKEN_GAP_BUCKETS = buckets(13, 27, 54, 108, 216, 432, 1_000, 2_000, 10_000);
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     private final ErrorBudget budget = new ErrorBudget(System::nanoTime);
 
-    private static Duration[] bounds(long... millis) {
+    /** Returns histogram bucket bounds given in milliseconds. */
+    private static Duration[] buckets(long... millis) {
         Duration[] result = new Duration[millis.length];
         for (int i = 0; i < millis.length; i++) {
             result[i] = Duration.ofMillis(millis[i]);
@@ -28,13 +29,13 @@
         return result;
     }
 
-    /** Counts an answered request. */
+    /** Counts a completed request by its kind and outcome. */
     public void answered(KindName kind, Outcome outcome) {
         registry.counter("verbenatally.requests", "kind", kind.value(), "outcome", outcome.text())
                 .increment();
     }
 
-    /** Counts a refusal or failure by the step at which it arose. */
+    /** Counts a refusal or failure by the step at which it occurred. */
     public void failed(Step step) {
         registry.counter("verbenatally.failures", "step", step.text()).increment();
     }
@@ -49,7 +50,11 @@
         registry.counter("verbenatally.retries", "kind", kind.value()).increment();
     }
 
-    /** Counts a stream that was resumed on a new connection to its engine. */
+    /**
+     * Counts how often a stream was resumed on a new connection to its engine.
+     *
+     * @param resumes number of times
+     */
     public void resumed(KindName kind, int resumes) {
         registry.counter("verbenatally.resumes", "kind", kind.value()).increment(resumes);
     }
@@ -59,18 +64,18 @@
         registry.counter("verbenatally.preemptions", "kind", kind.value()).increment(preemptions);
     }
 
-    /** Returns the meters of token delivery for one kind; kept by each stream, so that no token looks them up. */
+    /** Returns the meters of token delivery for one kind. A stream keeps them to avoid a lookup for each token. */
     public TokenMeters tokens(KindName kind) {
         return new TokenMeters(
-                timer("verbenatally.first.token", kind, FIRST_TOKEN_BOUNDS),
-                timer("verbenatally.token.gap", kind, GAP_BOUNDS),
+                timer("verbenatally.first.token", kind, FIRST_TOKEN_BUCKETS),
+                timer("verbenatally.token.gap", kind, TOKEN_GAP_BUCKETS),
                 registry.counter("verbenatally.stall.seconds", "kind", kind.value()));
     }
 
-    private Timer timer(String name, KindName kind, Duration... bounds) {
+    private Timer timer(String name, KindName kind, Duration... buckets) {
         return Timer.builder(name)
                 .tag("kind", kind.value())
-                .serviceLevelObjectives(bounds)
+                .serviceLevelObjectives(buckets)
                 .register(registry);
     }
 
@@ -78,12 +83,12 @@
      * Meters of token delivery for one kind.
      *
      * @param firstToken time from the request to the first token
-     * @param gap time between two tokens
-     * @param stallSeconds sum of the time by which tokens missed their latency target, in seconds
+     * @param gap time between two consecutive tokens
+     * @param stallSeconds total time by which tokens exceeded their latency targets, in seconds
      */
     public record TokenMeters(Timer firstToken, Timer gap, Counter stallSeconds) {}
 
-    /** Shows a value that is read on each scrape. */
+    /** Registers a gauge whose value is read on each scrape. */
     public void gauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
     }
--- a/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
@@ -13,31 +13,32 @@
 import org.verbenatally.core.OrganisationId;
 
 /**
- * Counts how requests were served, by kind and by organisation, over the last hour. The counts live in memory and start
- * anew with the process; the report says since when they count. Thread-safe.
+ * Counts how requests were served over the last hour, by kind and by organisation. The counts are held in memory and
+ * are lost when the process stops; the report states the time for which requests have been counted. Safe for use by
+ * several threads.
  *
- * <p>Size: 60 slots of 5 counts for each kind, 12 slots for each organisation that sent a request in the last hour.
+ * <p>Size: 60 slots of 5 counts for each kind, and 12 slots of 5 counts for each organisation that has sent a request.
  */
 public final class ErrorBudget {
-    private static final long SLOT_NANOS = 60_000_000_000L;
-    private static final int MINUTES = 60;
-    private static final int[] WINDOWS = {5, 30, MINUTES};
-    /** Organisations have slots of this many minutes, so that thousands of them stay small. */
-    private static final int COARSE_MINUTES = 5;
-    /** Organisations in a report: those that missed most. */
+    private static final long MINUTE_NANOS = 60_000_000_000L;
+    private static final int HISTORY_MINUTES = 60;
+    private static final int[] WINDOW_MINUTES = {5, 30, HISTORY_MINUTES};
+    /** Slot length for organisations, in minutes; long enough to keep thousands of organisations in little memory. */
+    private static final int ORGANISATION_SLOT_MINUTES = 5;
+    /** Maximum number of organisations in a report; those with the most missed requests are included. */
     private static final int MAX_ORGANISATIONS = 50;
 
     private final LongSupplier nanos;
     private final long startNanos;
-    private final Map<KindName, Ring> kinds = new HashMap<>();
-    private final Map<OrganisationId, Ring> organisations = new HashMap<>();
+    private final Map<KindName, RingCounter> kinds = new HashMap<>();
+    private final Map<OrganisationId, RingCounter> organisations = new HashMap<>();
 
-    /** Counts in slots of equal length; a slot is cleared when its time comes round again. */
-    private static final class Ring {
+    /** Counts in a ring of time slots of equal length; a slot is cleared when it is reused. */
+    private static final class RingCounter {
         private final long[] slotTimes;
         private final int[][] counts;
 
-        Ring(int slots) {
+        RingCounter(int slots) {
             slotTimes = new long[slots];
             counts = new int[slots][];
         }
@@ -51,8 +52,12 @@
             counts[slot][service.ordinal()]++;
         }
 
-        /** Returns the sums over the slots from {@code from} on. */
-        long[] sum(long from) {
+        /**
+         * Returns the count of each {@link Service} value over the latest slots, in the order of the values.
+         *
+         * @param from first slot time to include
+         */
+        long[] sumSince(long from) {
             long[] sums = new long[Service.values().length];
             for (int slot = 0; slot < counts.length; slot++) {
                 if (counts[slot] != null && slotTimes[slot] >= from) {
@@ -65,67 +70,75 @@
         }
     }
 
-    /** Creates an empty budget on a monotonic clock in nanoseconds. */
+    /**
+     * Creates an empty budget.
+     *
+     * @param nanos monotonic clock, in nanoseconds
+     */
     public ErrorBudget(LongSupplier nanos) {
         this.nanos = Objects.requireNonNull(nanos, "nanos");
         this.startNanos = nanos.getAsLong();
     }
 
-    /** Counts a request. A request that its caller cancelled is not counted. */
+    /** Counts a request. Must not be called for a request that its caller cancelled. */
     public synchronized void count(KindName kind, OrganisationId organisation, Service service) {
-        kinds.computeIfAbsent(kind, k -> new Ring(MINUTES)).count(minute(), service);
+        kinds.computeIfAbsent(kind, k -> new RingCounter(HISTORY_MINUTES)).count(minute(), service);
         organisations
-                .computeIfAbsent(organisation, k -> new Ring(MINUTES / COARSE_MINUTES))
-                .count(minute() / COARSE_MINUTES, service);
+                .computeIfAbsent(organisation, k -> new RingCounter(HISTORY_MINUTES / ORGANISATION_SLOT_MINUTES))
+                .count(minute() / ORGANISATION_SLOT_MINUTES, service);
     }
 
+    /** Returns the number of full minutes since this budget was created. */
     private long minute() {
-        return (nanos.getAsLong() - startNanos) / SLOT_NANOS;
+        return (nanos.getAsLong() - startNanos) / MINUTE_NANOS;
     }
 
     /**
-     * Returns the report: {@code sinceSeconds}, {@code objective}, the windows of each kind with counts and burn rate,
-     * and the last hour of the organisations that missed most. A burn rate of 1 uses up the budget exactly.
+     * Returns the report: {@code sinceSeconds}, the time for which requests have been counted; {@code objective}; the
+     * windows of each kind with counts and burn rate; and the same for the last hour of the organisations with the most
+     * missed requests. A burn rate of 1 uses up the budget exactly.
+     *
+     * @param objective fraction of requests that must meet their service levels; less than 1
      */
-    public synchronized JsonObject burn(double objective) {
-        JsonArray kindRows = new JsonArray();
+    public synchronized JsonObject report(double objective) {
+        JsonArray kindReports = new JsonArray();
         kinds.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(entry -> {
             JsonArray windows = new JsonArray();
-            for (int length : WINDOWS) {
-                windows.add(row(entry.getValue().sum(minute() - length + 1), objective)
+            for (int length : WINDOW_MINUTES) {
+                windows.add(summary(entry.getValue().sumSince(minute() - length + 1), objective)
                         .put("minutes", length));
             }
-            kindRows.add(new JsonObject().put("kind", entry.getKey().value()).put("windows", windows));
+            kindReports.add(new JsonObject().put("kind", entry.getKey().value()).put("windows", windows));
         });
         return new JsonObject()
                 .put("sinceSeconds", (nanos.getAsLong() - startNanos) / 1_000_000_000L)
                 .put("objective", objective)
-                .put("kinds", kindRows)
+                .put("kinds", kindReports)
                 .put("organisations", organisations(objective));
     }
 
     private JsonArray organisations(double objective) {
-        long from = minute() / COARSE_MINUTES - MINUTES / COARSE_MINUTES + 1;
-        JsonArray rows = new JsonArray();
+        long from = minute() / ORGANISATION_SLOT_MINUTES - HISTORY_MINUTES / ORGANISATION_SLOT_MINUTES + 1;
+        JsonArray reports = new JsonArray();
         organisations.entrySet().stream()
-                .map(entry -> row(entry.getValue().sum(from), objective)
+                .map(entry -> summary(entry.getValue().sumSince(from), objective)
                         .put("organisation", entry.getKey().value()))
-                .filter(row -> row.getLong("requests") > 0)
-                .sorted(Comparator.comparingLong(row -> -row.getLong("missed")))
+                .filter(summary -> summary.getLong("requests") > 0)
+                .sorted(Comparator.comparingLong(summary -> -summary.getLong("missed")))
                 .limit(MAX_ORGANISATIONS)
-                .forEach(rows::add);
-        return rows;
+                .forEach(reports::add);
+        return reports;
     }
 
-    private static JsonObject row(long[] sums, double objective) {
-        JsonObject row = new JsonObject();
+    private static JsonObject summary(long[] sums, double objective) {
+        JsonObject summary = new JsonObject();
         long requests = 0;
         for (Service service : Service.values()) {
             requests += sums[service.ordinal()];
-            row.put(service.name().toLowerCase(Locale.ROOT), sums[service.ordinal()]);
+            summary.put(service.name().toLowerCase(Locale.ROOT), sums[service.ordinal()]);
         }
         long missed = requests - sums[Service.MET.ordinal()];
         double rate = requests == 0 ? 0 : (double) missed / requests / (1 - objective);
-        return row.put("requests", requests).put("missed", missed).put("burnRate", rate);
+        return summary.put("requests", requests).put("missed", missed).put("burnRate", rate);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/operator/OperatorServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/OperatorServer.java
@@ -14,7 +14,7 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.settings.ListenerSettings;
 
-/** The operators' HTTP server. */
+/** The HTTP server for operators: health checks, metrics, status, explanations of requests and graceful shutdown. */
 public final class OperatorServer {
     private static final int OK = 200;
     private static final int ACCEPTED = 202;
@@ -25,33 +25,33 @@
     private static final String EXPLAIN = "/operator/explain/";
 
     private final Vertx vertx;
-    private final Views views;
+    private final Components components;
 
     /**
-     * What the server shows and starts.
+     * The data that the server reports and the action that it can start.
      *
-     * @param notReady why the entry is not ready, empty if it is
-     * @param status state of the entry
-     * @param burn use of the error budget
-     * @param metrics metrics
-     * @param log traces of the latest requests
+     * @param notReadyReason why the entry is not ready; empty if it is
+     * @param status the state of the entry
+     * @param errorBudget the consumption of the error budget
+     * @param metrics the metrics of the entry
+     * @param log the traces of recent requests
      * @param drain starts a graceful shutdown
      */
-    public record Views(
-            Supplier<Optional<String>> notReady,
+    public record Components(
+            Supplier<Optional<String>> notReadyReason,
             Supplier<JsonObject> status,
-            Supplier<JsonObject> burn,
+            Supplier<JsonObject> errorBudget,
             EntryMetrics metrics,
             RequestLog log,
             Runnable drain) {}
 
-    /** Creates a server that does not listen yet. */
-    public OperatorServer(Vertx vertx, Views views) {
+    /** Creates a server without starting it. */
+    public OperatorServer(Vertx vertx, Components components) {
         this.vertx = Objects.requireNonNull(vertx, "vertx");
-        this.views = Objects.requireNonNull(views, "views");
+        this.components = Objects.requireNonNull(components, "components");
     }
 
-    /** Starts to listen; completes with the port. */
+    /** Starts listening; the future completes with the port. */
     public Future<Integer> listen(ListenerSettings settings) {
         HttpServer server = vertx.createHttpServer(new HttpServerOptions().setMaxHeaderSize(8_192));
         return server.requestHandler(this::handle)
@@ -73,11 +73,12 @@
                 case "/metrics" ->
                     request.response()
                             .putHeader("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-                            .end(views.metrics().scrape());
-                case "/operator/status" -> send(request, OK, views.status().get());
-                case "/operator/burn" -> send(request, OK, views.burn().get());
+                            .end(components.metrics().scrape());
+                case "/operator/status" -> send(request, OK, components.status().get());
+                case "/operator/burn" ->
+                    send(request, OK, components.errorBudget().get());
                 case "/operator/drain" -> {
-                    views.drain().run();
+                    components.drain().run();
                     send(request, ACCEPTED, new JsonObject().put("draining", true));
                 }
                 default -> explain(request, path);
@@ -88,7 +89,7 @@
     }
 
     private void ready(HttpServerRequest request) {
-        Optional<String> reason = views.notReady().get();
+        Optional<String> reason = components.notReadyReason().get();
         JsonObject body = new JsonObject().put("ready", reason.isEmpty());
         reason.ifPresent(text -> body.put("reason", text));
         send(request, reason.isEmpty() ? OK : UNAVAILABLE, body);
@@ -96,7 +97,7 @@
 
     private void explain(HttpServerRequest request, String path) {
         Optional<RequestTrace> trace =
-                path.startsWith(EXPLAIN) ? views.log().find(path.substring(EXPLAIN.length())) : Optional.empty();
+                path.startsWith(EXPLAIN) ? components.log().find(path.substring(EXPLAIN.length())) : Optional.empty();
         if (trace.isEmpty()) {
             send(request, NOT_FOUND, new JsonObject().put("error", "not found"));
             return;
--- a/entry/src/main/java/org/verbenatally/entry/operator/RequestLog.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/RequestLog.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The traces of the latest requests, in memory. Safe for use by several threads. */
+/** Holds the traces of recent requests in memory. Safe for use by several threads. */
 public final class RequestLog {
+    /** Maximum number of traces; beyond it the oldest is removed. */
     private static final int CAPACITY = 2_048;
 
     private final Map<String, RequestTrace> traces = new LinkedHashMap<>() {
@@ -27,7 +28,7 @@
         return trace;
     }
 
-    /** Returns the trace of a request, if it is still held. */
+    /** Returns the trace of a request; empty if the request is unknown or its trace has been removed. */
     public Optional<RequestTrace> find(String request) {
         synchronized (traces) {
             return Optional.ofNullable(traces.get(request));
--- a/entry/src/main/java/org/verbenatally/entry/operator/RequestTrace.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/RequestTrace.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Objects;
 
-/** What happened to one request, step by step. Holds no prompt, answer, credential or key. */
+/** Records how one request was processed, step by step. Contains no prompt, response, credential or key. */
 public final class RequestTrace {
-    /** A request with many resumes keeps its first steps and drops later ones. */
+    /** Maximum number of steps. Later ones are dropped, for example those of a request with many resumes. */
     private static final int MAX_STEPS = 48;
 
     private final String request;
@@ -16,7 +16,7 @@
     private final List<Step> steps = new ArrayList<>();
 
     /**
-     * One step.
+     * One step in the processing of a request.
      *
      * @param atMs time since the request arrived, in milliseconds
      * @param text one short sentence
@@ -29,19 +29,19 @@
         this.kind = kind;
     }
 
-    /** Notes a step. */
+    /** Adds a step that happens now. */
     public synchronized void note(String text) {
         if (steps.size() < MAX_STEPS) {
             steps.add(new Step((System.nanoTime() - startNanos) / 1_000_000, text));
         }
     }
 
-    /** Returns the request's id. */
+    /** Returns the id of the request. */
     public String request() {
         return request;
     }
 
-    /** Returns whose request it was. */
+    /** Returns the organisation that sent the request. */
     public String organisation() {
         return organisation;
     }
@@ -51,7 +51,7 @@
         return kind;
     }
 
-    /** Returns the steps so far. */
+    /** Returns the steps recorded so far. */
     public synchronized List<Step> steps() {
         return List.copyOf(steps);
     }
--- a/entry/src/main/java/org/verbenatally/entry/operator/Service.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/Service.java
@@ -1,15 +1,15 @@
 package org.verbenatally.entry.operator;
 
-/** How a request was served, as the error budget sees it. */
+/** How a request was served, as counted by the error budget. */
 public enum Service {
     /** Complete and within its latency targets. */
     MET,
-    /** Complete, but the first token or the whole answer came too late. */
+    /** Complete, but the first token or the complete response was late. */
     LATE,
-    /** Complete, but too many gaps between tokens were too long. */
+    /** Complete, but too many of the gaps between tokens exceeded their latency target. */
     STALLED,
-    /** Refused; it did not run. */
+    /** Refused without being run. */
     REFUSED,
-    /** Cut off, or nobody can tell whether it ran. */
+    /** Interrupted, or with an unknown outcome. */
     LOST
 }
--- a/entry/src/main/java/org/verbenatally/entry/operator/package-info.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/package-info.java
@@ -1,2 +1,2 @@
-/** What operators see of an entry process: status, explanations, metrics and the start of a graceful shutdown. */
+/** The interface of an entry process for operators: status, explanations, metrics and graceful shutdown. */
 package org.verbenatally.entry.operator;
--- a/entry/src/test/java/org/verbenatally/entry/CallersContractTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/CallersContractTest.java
@@ -15,7 +15,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The callers' interface as the design states it. */
+/** Tests the interface for callers against its specification. */
 class CallersContractTest {
     private static final String BODY = "{\"prompt\":\"hello\"}";
     private EntryFixture entry;
@@ -41,7 +41,7 @@
         return problem;
     }
 
-    /** Guards against a change of the stream's form. */
+    /** Guards against a change of the stream format. */
     @Test
     void streamHasStartTokensAndEnd() {
         HttpResponse<String> response = entry.call("POST", "/v1/work/guide", BODY, "Request-Id", "r-1");
@@ -77,7 +77,7 @@
         assertThat(entry.starts()).isZero();
     }
 
-    /** Guards against a process that bytes of a caller can stop. */
+    /** Guards against malformed input from a caller that stops the process. */
     @Test
     void malformedBytesDoNotStopTheProcess() throws Exception {
         for (String bytes : List.of(
@@ -99,7 +99,7 @@
         assertThat(entry.call("POST", "/v1/work/guide", BODY).statusCode()).isEqualTo(200);
     }
 
-    /** Guards against an organisation that takes more than its rate. */
+    /** Guards against an organisation that exceeds its request rate. */
     @Test
     void requestsAboveTheRateAreRefused() {
         String[] slow = {"Organisation", "slow", "Authorization", "Bearer slow-secret"};
@@ -111,7 +111,7 @@
         assertThat(problem.getLong("retryAfterMs")).isPositive();
     }
 
-    /** Guards against a resume that repeats, skips or mixes tokens, and against resumes by others. */
+    /** Guards against a resume that repeats, skips or mixes tokens, and against resumes by other organisations. */
     @Test
     void resumeSendsExactlyTheRestToTheOwningOrganisation() {
         Events all = Events.read(entry.call("POST", "/v1/work/guide", BODY).body());
@@ -132,7 +132,7 @@
                 .allSatisfy(engine -> assertThat(engine.cancels).isEmpty());
     }
 
-    /** Guards against a browser's EventSource that cannot read an asynchronous request. */
+    /** Guards against an asynchronous request whose events a browser's EventSource cannot read. */
     @Test
     void asynchronousRequestIsReadAtItsLocation() {
         HttpResponse<String> accepted = entry.call("POST", "/v1/work/guide", BODY, "Prefer", "respond-async");
@@ -145,7 +145,7 @@
         assertThat(location).endsWith(events.stream());
     }
 
-    /** Guards against a stream that goes on after its caller has cancelled it. */
+    /** Guards against a stream that continues after its caller has cancelled it. */
     @Test
     void cancelEndsTheGeneration() throws Exception {
         entry.engineFaults.add("slow");
@@ -166,7 +166,7 @@
         EntryFixture.await(() -> entry.engines.stream().anyMatch(engine -> !engine.cancels.isEmpty()));
     }
 
-    /** Guards against silence on a stream whose engine has nothing to say. */
+    /** Guards against a stream that carries no data while its engine generates no tokens. */
     @Test
     void idleStreamCarriesKeepAlives() throws Exception {
         entry.engineFaults.add("slow");
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Guards against a request that outlives its deadline. */
+    /** Guards against a request that continues after its deadline. */
     @Test
     void deadlineEndsTheStream() {
         entry.engineFaults.add("slow");
@@ -189,21 +189,22 @@
         EntryFixture.await(() -> entry.engines.stream().anyMatch(engine -> !engine.cancels.isEmpty()));
     }
 
-    /** Guards against clients of the usual completion interface that cannot read the answer. */
+    /** Guards against a response that clients of the usual completion interface cannot read. */
     @Test
     void completionHasTheUsualForm() {
-        JsonObject whole =
+        JsonObject response =
                 new JsonObject(entry.call("POST", "/v1/completions", BODY).body());
         String stream = entry.call("POST", "/v1/completions", "{\"prompt\":\"x\",\"stream\":true,\"model\":\"m1\"}")
                 .body();
 
-        assertThat(whole.getJsonArray("choices").getJsonObject(0).getString("text"))
+        assertThat(response.getJsonArray("choices").getJsonObject(0).getString("text"))
                 .contains(".5 ");
-        assertThat(whole.getJsonObject("usage").getInteger("completion_tokens")).isEqualTo(FakeEngine.TOKENS);
+        assertThat(response.getJsonObject("usage").getInteger("completion_tokens"))
+                .isEqualTo(FakeEngine.TOKENS);
         assertThat(stream).contains("\"object\":\"text_completion\"").endsWith("data: [DONE]\n\n");
     }
 
-    /** Guards against new work on a target that says it is leaving. */
+    /** Guards against new work on a target that reports that it is leaving. */
     @Test
     void leavingTargetGetsNoNewWork() {
         FakeEngine leaving = entry.engines.getFirst();
@@ -220,7 +221,7 @@
         assertThat(leaving.starts).hasSize(before);
     }
 
-    /** Guards against a planned stop that cuts off a stream or takes new work after the balancer's lag. */
+    /** Guards against a graceful shutdown that interrupts a stream, or accepts work after the load balancer delay. */
     @Test
     void drainFinishesStreamsAndRefusesNewWork() throws Exception {
         entry.engineFaults.add("slow");
--- a/entry/src/test/java/org/verbenatally/entry/EngineFaultsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/EngineFaultsTest.java
@@ -11,7 +11,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Each fault of an engine, crossed with kinds that may and may not be repeated. */
+/** Tests each fault of an engine with repeatable and non-repeatable kinds. */
 @TestInstance(TestInstance.Lifecycle.PER_CLASS)
 class EngineFaultsTest {
     private static final String BODY = "{\"prompt\":\"hello\"}";
@@ -27,10 +27,10 @@
         entry.close();
     }
 
-    /** Guards against mixed, doubled or lost tokens, and against a second run of work that must not be repeated. */
+    /** Guards against mixed, duplicated or lost tokens, and against a second run of non-repeatable work. */
     @ParameterizedTest
     @CsvSource({
-        // fault, guide, once: tokens delivered before a final error, or done; starts
+        // fault, then for kinds guide and once: done, or the number of tokens delivered before the final error; starts
         "none,          done, 1,  done, 1",
         "full,          done, 1,  done, 1",
         "status-500,    done, 1,  0,    0",
@@ -47,12 +47,13 @@
         "long-line@2,   2,    1,  2,    1",
         "wrong-count,   6,    1,  6,    1",
     })
-    void streamEndsAsTheFaultAllows(String fault, String guide, int guideStarts, String once, int onceStarts) {
-        check("guide", fault, guide, guideStarts);
-        check("once", fault, once, onceStarts);
+    void streamEndsAsTheFaultAllows(
+            String fault, String guideResult, int guideStarts, String onceResult, int onceStarts) {
+        check("guide", fault, guideResult, guideStarts);
+        check("once", fault, onceResult, onceStarts);
     }
 
-    private void check(String kind, String fault, String expected, int starts) {
+    private void check(String kind, String fault, String expected, int expectedStarts) {
         int before = entry.starts();
         entry.engineFaults.add(fault);
 
@@ -72,7 +73,7 @@
         } else {
             assertLost(new JsonObject(response.body()), Integer.parseInt(expected));
         }
-        assertThat(entry.starts() - before).isEqualTo(starts);
+        assertThat(entry.starts() - before).isEqualTo(expectedStarts);
     }
 
     private static void assertLost(JsonObject problem, int delivered) {
@@ -81,10 +82,10 @@
         assertThat(problem.getInteger("delivered")).isEqualTo(delivered);
     }
 
-    /** Guards against a partial whole answer, and against giving up although nothing was delivered. */
+    /** Guards against an incomplete response, and against giving up although nothing has been delivered. */
     @ParameterizedTest
     @CsvSource({"full, 1", "drop@3, 1", "forget@3, 2", "gap@3, 2", "bad-json@2, 2", "wrong-count, 2"})
-    void wholeAnswerIsRepeatedUntilItIsComplete(String fault, int starts) {
+    void nonStreamedResponseIsRetriedUntilComplete(String fault, int expectedStarts) {
         int before = entry.starts();
         entry.engineFaults.add(fault);
 
@@ -98,6 +99,6 @@
             text.append(generation, 0, 4).append('.').append(i).append(' ');
         }
         assertThat(new JsonObject(response.body()).getString("text")).hasToString(text.toString());
-        assertThat(entry.starts() - before).isEqualTo(starts);
+        assertThat(entry.starts() - before).isEqualTo(expectedStarts);
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/EntryFixture.java
+++ b/entry/src/test/java/org/verbenatally/entry/EntryFixture.java
@@ -22,7 +22,7 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.config.SettingsReader;
 
-/** One entry in this process with fake engines, services and platform, and a client for its callers. */
+/** One entry in this process, with fake engines, services and platform, and an HTTP client for callers. */
 final class EntryFixture implements AutoCloseable {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
@@ -148,7 +148,7 @@
         long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("condition did not come true in " + TIMEOUT);
+                throw new AssertionError("condition was not met within " + TIMEOUT);
             }
             Thread.onSpinWait();
         }
@@ -162,7 +162,7 @@
         return send(request(ports.operator(), method, path, null));
     }
 
-    /** Sends a request of organisation tana; headers are pairs of name and value, and replace those of tana. */
+    /** Sends a request of organisation tana. Headers are pairs of name and value; they replace the headers of tana. */
     HttpResponse<String> call(String method, String path, String body, String... headers) {
         return send(caller(method, path, body, headers));
     }
@@ -202,7 +202,7 @@
         }
     }
 
-    /** Sends a request whose body is read line by line. */
+    /** Sends a request whose response is read line by line. */
     HttpResponse<java.util.stream.Stream<String>> open(HttpRequest request) throws Exception {
         return client.send(request, HttpResponse.BodyHandlers.ofLines());
     }
--- a/entry/src/test/java/org/verbenatally/entry/Events.java
+++ b/entry/src/test/java/org/verbenatally/entry/Events.java
@@ -6,11 +6,11 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * A stream of events as a caller reads it.
+ * The events of a stream, parsed from a response to a caller.
  *
  * @param ids event ids of the tokens
  * @param texts texts of the tokens
- * @param stream address given in the start event
+ * @param stream stream token given in the start event
  * @param last name of the last event
  * @param data data of the last event
  */
@@ -50,15 +50,20 @@
                 .orElse("");
     }
 
-    /** Tells whether the tokens have the offsets from the first to the last and one generation's text. */
+    /**
+     * Returns whether the tokens have the expected offsets and the text of one generation.
+     *
+     * @param from offset of the first token
+     * @param to offset after the last token
+     */
     boolean areInOrder(int from, int to) {
         if (ids.size() != to - from) {
             return false;
         }
         for (int i = 0; i < ids.size(); i++) {
-            boolean rightId = ids.get(i).equals(stream + ':' + (from + i));
+            boolean idMatches = ids.get(i).equals(stream + ':' + (from + i));
             String generation = texts.getFirst().substring(0, 4);
-            if (!rightId || !texts.get(i).equals(generation + '.' + (from + i) + ' ')) {
+            if (!idMatches || !texts.get(i).equals(generation + '.' + (from + i) + ' ')) {
                 return false;
             }
         }
--- a/entry/src/test/java/org/verbenatally/entry/FakeEngine.java
+++ b/entry/src/test/java/org/verbenatally/entry/FakeEngine.java
@@ -14,7 +14,7 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-/** An engine that generates a fixed answer and fails as planned. */
+/** An engine that generates a fixed response and injects faults. */
 final class FakeEngine {
     static final int TOKENS = 6;
 
@@ -22,7 +22,7 @@
     final List<String> cancels = new CopyOnWriteArrayList<>();
     final String id;
     private final Vertx vertx;
-    private final Queue<String> plan;
+    private final Queue<String> faults;
     private final Map<String, Generation> generations = new ConcurrentHashMap<>();
     private HttpServer server;
     volatile boolean leaving;
@@ -31,18 +31,18 @@
         final String fault;
         int attachments;
         boolean known = true;
-        HttpServerResponse open;
+        HttpServerResponse openResponse;
 
         Generation(String fault) {
             this.fault = fault;
         }
     }
 
-    /** Creates an engine; each start takes its fault from the plan, which several engines may share. */
-    FakeEngine(Vertx vertx, String id, Queue<String> plan) {
+    /** Creates an engine. Each start takes its fault from the queue, which several engines may share. */
+    FakeEngine(Vertx vertx, String id, Queue<String> faults) {
         this.vertx = vertx;
         this.id = id;
-        this.plan = plan;
+        this.faults = faults;
     }
 
     int start() {
@@ -97,7 +97,7 @@
     }
 
     private void create(HttpServerRequest request, JsonObject body) {
-        String fault = plan.isEmpty() ? "none" : plan.poll();
+        String fault = faults.isEmpty() ? "none" : faults.poll();
         String generationId = body.getString("generation");
         switch (fault) {
             case "full", "leaving" -> {
@@ -128,25 +128,25 @@
 
     private void attach(HttpServerRequest request, String id, Generation generation, int from, boolean first) {
         HttpServerResponse response = request.response();
-        if (generation.open != null) {
-            generation.open.reset();
+        if (generation.openResponse != null) {
+            generation.openResponse.reset();
         }
-        generation.open = response;
+        generation.openResponse = response;
         response.setChunked(true)
                 .putHeader("Content-Type", "text/event-stream")
                 .putHeader("Attachment", Integer.toString(++generation.attachments));
-        String[] parts = generation.fault.split("@");
-        int at = parts.length > 1 ? Integer.parseInt(parts[1]) : Integer.MAX_VALUE;
+        String[] faultParts = generation.fault.split("@");
+        int faultOffset = faultParts.length > 1 ? Integer.parseInt(faultParts[1]) : Integer.MAX_VALUE;
         for (int offset = from; offset < TOKENS; offset++) {
-            if (first && offset == at) {
-                if (fail(request, generation, parts[0], offset)) {
+            if (first && offset == faultOffset) {
+                if (fail(request, generation, faultParts[0], offset)) {
                     return;
                 }
                 continue;
             }
             response.write(token(id, offset));
         }
-        if (parts[0].equals("slow")) {
+        if (faultParts[0].equals("slow")) {
             vertx.setPeriodic(500, timer -> {
                 if (response.closed()) {
                     vertx.cancelTimer(timer);
@@ -156,7 +156,7 @@
             });
             return;
         }
-        int count = parts[0].equals("wrong-count") ? TOKENS + 1 : TOKENS;
+        int count = faultParts[0].equals("wrong-count") ? TOKENS + 1 : TOKENS;
         response.end("event: end\ndata: {\"tokens\":" + count + ",\"preemptions\":0}\n\n");
     }
 
@@ -164,7 +164,7 @@
         return "id: " + offset + "\ndata: {\"t\":\"" + id.substring(0, 4) + '.' + offset + " \"}\n\n";
     }
 
-    /** Fails in place of a token, and returns whether nothing more is to be written. */
+    /** Injects a fault instead of a token; returns whether the response ends there. */
     private boolean fail(HttpServerRequest request, Generation generation, String fault, int offset) {
         HttpServerResponse response = request.response();
         switch (fault) {
@@ -188,7 +188,7 @@
         return true;
     }
 
-    /** Closes after the bytes written so far have left. */
+    /** Closes the connection after the bytes written so far have been sent. */
     private void close(HttpServerRequest request) {
         request.response()
                 .write(": bye\n\n")
--- a/entry/src/test/java/org/verbenatally/entry/FakeService.java
+++ b/entry/src/test/java/org/verbenatally/entry/FakeService.java
@@ -8,16 +8,16 @@
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.json.JsonObject;
 
-/** A plain service that counts its runs and fails as planned. */
+/** A plain service that counts its runs and injects faults. */
 final class FakeService {
     private final Vertx vertx;
-    private final Queue<String> plan;
+    private final Queue<String> faults;
     private final AtomicInteger runs;
     private HttpServer server;
 
-    FakeService(Vertx vertx, Queue<String> plan, AtomicInteger runs) {
+    FakeService(Vertx vertx, Queue<String> faults, AtomicInteger runs) {
         this.vertx = vertx;
-        this.plan = plan;
+        this.faults = faults;
         this.runs = runs;
     }
 
@@ -47,7 +47,7 @@
     }
 
     private void run(HttpServerRequest request) {
-        String fault = plan.isEmpty() ? "none" : plan.poll();
+        String fault = faults.isEmpty() ? "none" : faults.poll();
         if (fault.equals("full") || fault.equals("leaving")) {
             request.response().setStatusCode(503).end("{\"reason\":\"" + fault + "\"}");
             return;
@@ -61,7 +61,7 @@
         switch (fault) {
             case "reset" -> request.connection().close();
             case "silent" -> {
-                // The answer never comes.
+                // No response is sent.
             }
             case "status-500" -> request.response().setStatusCode(500).end();
             case "status-409" -> request.response().setStatusCode(409).end("{\"conflict\":true}");
--- a/entry/src/test/java/org/verbenatally/entry/ServiceFaultsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/ServiceFaultsTest.java
@@ -11,7 +11,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Each fault of a plain service, crossed with idempotent and non-idempotent kinds. */
+/** Tests each fault of a plain service with idempotent and non-idempotent kinds. */
 class ServiceFaultsTest {
     private EntryFixture entry;
 
@@ -25,7 +25,7 @@
         entry.close();
     }
 
-    /** Guards against the loss of a call that could be repeated. */
+    /** Guards against a failed call that could have been retried. */
     @ParameterizedTest
     @CsvSource({
         "none, 1",
@@ -37,7 +37,7 @@
         "status-500, 2",
         "status-503, 2",
     })
-    void idempotentCallIsRepeated(String fault, int runs) {
+    void idempotentCallIsRetried(String fault, int runs) {
         entry.serviceFaults.add(fault);
 
         HttpResponse<String> response = entry.call("POST", "/v1/work/check", "{}");
@@ -47,7 +47,7 @@
         assertThat(entry.serviceRuns).hasValue(runs);
     }
 
-    /** Guards against a second run, a false not-run, and copies with different results. */
+    /** Guards against a second run, a wrong not-run, and different results for the same key. */
     @ParameterizedTest
     @CsvSource({
         "none,       done,    200, 1",
@@ -64,7 +64,7 @@
         entry.serviceFaults.add(fault);
         String key = new JsonObject(entry.call("POST", "/v1/keys/book", "").body()).getString("key");
 
-        for (int copy = 0; copy < 3; copy++) {
+        for (int duplicate = 0; duplicate < 3; duplicate++) {
             HttpResponse<String> response =
                     entry.call("POST", "/v1/work/book", "{}", "Idempotency-Key", key, "Deadline-Ms", "1500");
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Guards against a call that is given up, or reported as unknown, although no connection was made. */
+    /** Guards against a call that is abandoned, or reported as unknown, although no connection was made. */
     @Test
     void callThatWasNeverSentIsNotRun() {
         entry.services.forEach(FakeService::stop);
@@ -90,16 +90,16 @@
         assertThat(entry.serviceRuns).hasValue(0);
     }
 
-    /** Guards against a not-run from an entry that refuses a copy without asking the key's owner. */
+    /** Guards against a not-run from an entry that refuses a call without asking the owner of its key. */
     @Test
     void refusalOfACallWithAKeyIsUnknown() {
-        HttpResponse<String> wrong =
+        HttpResponse<String> wrongCredential =
                 entry.call("POST", "/v1/work/book", "{}", "Idempotency-Key", "x", "Authorization", "Bearer wrong");
-        HttpResponse<String> without = entry.call("POST", "/v1/work/book", "{}");
+        HttpResponse<String> withoutKey = entry.call("POST", "/v1/work/book", "{}");
 
-        assertThat(wrong.headers().firstValue("Outcome")).hasValue("unknown");
-        assertThat(without.statusCode()).isEqualTo(428);
-        assertThat(without.headers().firstValue("Outcome")).hasValue("not-run");
-        assertThat(new JsonObject(without.body()).getString("key")).isNotEmpty();
+        assertThat(wrongCredential.headers().firstValue("Outcome")).hasValue("unknown");
+        assertThat(withoutKey.statusCode()).isEqualTo(428);
+        assertThat(withoutKey.headers().firstValue("Outcome")).hasValue("not-run");
+        assertThat(new JsonObject(withoutKey.body()).getString("key")).isNotEmpty();
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
@@ -26,7 +26,7 @@
 import org.verbenatally.wire.ForwardResult;
 import org.verbenatally.wire.KeyTransfer;
 
-/** Entries whose key owners reach each other directly, and a runner that counts the runs of each key. */
+/** Entries that exchange forwarded calls and key tables in memory, with a runner that counts the runs of each key. */
 final class KeyFleet {
     static final OrganisationId ORGANISATION = new OrganisationId("tana");
     static final KindName KIND = new KindName("order-booking");
@@ -38,7 +38,7 @@
 
     private record Announcement(InstanceId owner, Incarnation incarnation) {}
 
-    /** One entry. */
+    /** One entry, which is also its own peer network. */
     final class Node implements PeerNetwork {
         private final InstanceId id;
         private final Incarnation incarnation;
@@ -67,13 +67,14 @@
             return call(key).join().outcome();
         }
 
+        /** Transfers the tables to the successor and announces it. */
         void transferTo(Node successor) {
             sendTables(successor);
             announcements.put(new Announcement(id, incarnation), successor.id);
             calls.store().endTransfer(Optional.of(successor.id));
         }
 
-        /** Transfers the tables as far as the successor, whose confirmation is lost. */
+        /** Transfers the tables to the successor, but loses its confirmation. */
         void transferUnconfirmedTo(Node successor) {
             sendTables(successor);
             calls.store().endTransfer(Optional.empty());
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyTableTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyTableTest.java
@@ -34,7 +34,7 @@
         return table.claim(key, IdempotencyKey.parse(key).orElseThrow(), 1);
     }
 
-    /** Guards against two runs of one key when copies arrive at the same time. */
+    /** Guards against two runs of one key when calls with it arrive at the same time. */
     @Property(tries = 60, seed = "20261204")
     void atMostOneOfSeveralConcurrentClaimsIsGranted(
             @ForAll @IntRange(min = 2, max = 8) int threads, @ForAll @IntRange(min = 1, max = 6) int keys)
@@ -47,7 +47,7 @@
                     .<Future<?>>mapToObj(thread -> pool.submit(() -> {
                         start.await();
                         for (int i = 0; i < keys * 3; i++) {
-                            present(issued.get((i * 7 + thread) % keys), fleet);
+                            claimAndFinish(issued.get((i * 7 + thread) % keys), fleet);
                         }
                         return null;
                     }))
@@ -59,7 +59,7 @@
         issued.forEach(key -> assertThat(fleet.runsOf(key)).isEqualTo(1));
     }
 
-    private void present(String key, KeyFleet fleet) {
+    private void claimAndFinish(String key, KeyFleet fleet) {
         switch (claim(key)) {
             case KeyTable.Granted granted -> {
                 int run = fleet.count(key);
@@ -76,9 +76,9 @@
         }
     }
 
-    /** Guards against a waiting copy that is left without the result. */
+    /** Guards against a duplicate that waits for the running call and never receives its result. */
     @Test
-    void copyWaitsForTheResultOfTheRunningCall() {
+    void duplicateWaitsForTheResultOfTheRunningCall() {
         String key = issue();
         assertThat(claim(key)).isInstanceOf(KeyTable.Granted.class);
         CompletableFuture<CallResult> duplicate = ((KeyTable.Duplicate) claim(key)).result();
@@ -89,9 +89,9 @@
         assertThat(duplicate.join().status()).isEqualTo(201);
     }
 
-    /** Guards against unbounded memory: an answer too large to store leaves only its outcome. */
+    /** Guards against unbounded memory use: of a response that is too large to store, only the outcome is kept. */
     @Test
-    void largeAnswerIsNotStored() {
+    void largeResponseIsNotStored() {
         String key = issue();
         claim(key);
         table.finish(key, CallResult.done(200, new byte[100_000], "s"));
@@ -102,9 +102,9 @@
         assertThat(later.body()).isEmpty();
     }
 
-    /** Guards against the loss of a running call's row, which would allow a second run. */
+    /** Guards against eviction of the record of a running call, which would allow a second run. */
     @Test
-    void trimKeepsCallsThatStillRun() {
+    void evictionKeepsRunningCalls() {
         String running = issue();
         String ended = issue();
         claim(running);
@@ -118,16 +118,16 @@
         assertThat(claim(running)).isInstanceOf(KeyTable.Duplicate.class);
     }
 
-    /** Guards against two rows, and so two runs, for two spellings of one key. */
+    /** Guards against two records, and therefore two runs, for two encodings of one key. */
     @Test
-    void onlyOneSpellingOfAKeyIsRead() {
+    void onlyTheCanonicalEncodingOfAKeyIsAccepted() {
         String key = issue();
         for (int i = 0; i < 64; i++) {
-            String other = key.substring(0, key.length() - 1)
+            String variant = key.substring(0, key.length() - 1)
                     + "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_".charAt(i);
-            boolean same = other.equals(key);
-            boolean accepted = IdempotencyKey.parse(other).isPresent() && table.hasValidSignature(other);
-            assertThat(accepted).isEqualTo(same);
+            boolean isCanonical = variant.equals(key);
+            boolean accepted = IdempotencyKey.parse(variant).isPresent() && table.hasValidSignature(variant);
+            assertThat(accepted).isEqualTo(isCanonical);
         }
         assertThat(IdempotencyKey.parse(key + "=")).isEmpty();
         assertThat(IdempotencyKey.parse(key + "7")).isEmpty();
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
@@ -19,9 +19,9 @@
     private final KeyFleet.Node a = fleet.start("a", 11);
     private final KeyFleet.Node b = fleet.start("b", 12);
 
-    /** Guards against a second run when copies arrive at several entries. */
+    /** Guards against a second run when calls with the same key arrive at several entries. */
     @Test
-    void copiesAtAllEntriesGetTheResultOfOneRun() {
+    void duplicatesAtAllEntriesGetTheResultOfOneRun() {
         String key = a.issue();
 
         byte[] first = b.call(key).join().body();
@@ -31,7 +31,7 @@
         assertThat(fleet.runsOf(key)).isEqualTo(1);
     }
 
-    /** Guards against an answer that calls a call not-run although the unreachable owner may have run it. */
+    /** Guards against the outcome not-run for a call that its unreachable owner may have run. */
     @Test
     void callIsUnknownWhileItsOwnerCannotBeReached() {
         String key = a.issue();
@@ -45,7 +45,7 @@
         assertThat(fleet.runsOf(key)).isEqualTo(1);
     }
 
-    /** Guards against a run of a key that an earlier incarnation issued and may have run. */
+    /** Guards against a second run of a key that an earlier incarnation issued and may have run. */
     @Test
     void keyOfAnEarlierIncarnationIsUnknownAndNotRun() {
         String key = a.issue();
@@ -56,7 +56,7 @@
         assertThat(fleet.runsOf(key)).isZero();
     }
 
-    /** Guards against a run after a refusal that the caller took as final. */
+    /** Guards against a run of a call after its caller was told that it was not run, which is final. */
     @Test
     void notRunIsFinal() {
         String key = a.issue();
@@ -68,7 +68,7 @@
         assertThat(a.outcome(key)).isEqualTo(Outcome.NOT_RUN);
     }
 
-    /** Guards against a run of an expired key, whose row may have been dropped after a run. */
+    /** Guards against a second run of an expired key, whose record may have been evicted after the first. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void expiredKeyIsUnknownAndNotRun(boolean usedBefore) {
@@ -83,7 +83,7 @@
         assertThat(fleet.runsOf(key)).isEqualTo(usedBefore ? 1 : 0);
     }
 
-    /** Guards against a run under a key that another organisation, another kind or nobody was given. */
+    /** Guards against a run with a forged key, or one that was issued for another organisation or kind. */
     @Test
     void keyOfAnotherOrganisationOrKindOrAForgedKeyIsNotRun() {
         String key = a.issue();
@@ -109,7 +109,7 @@
         assertThat(fleet.runs).isEmpty();
     }
 
-    /** Guards against the first order's answer being given for a second order under the same key. */
+    /** Guards against returning the response of the first call for a call with the same key but another body. */
     @Test
     void anotherBodyUnderAUsedKeyIsUnknownAndNotRun() {
         String key = a.issue();
@@ -129,9 +129,9 @@
         assertThat(fleet.runsOf(key)).isEqualTo(1);
     }
 
-    /** Guards against a loss of used and unused keys in a planned stop. */
+    /** Guards against the loss of used and unused keys in a graceful shutdown. */
     @Test
-    void successorAnswersForTransferredKeys() {
+    void successorDecidesAboutTransferredKeys() {
         String used = a.issue();
         byte[] first = a.call(used).join().body();
         String unused = a.issue();
@@ -146,13 +146,13 @@
         assertThat(fleet.runsOf(unused)).isEqualTo(1);
     }
 
-    /** Guards against two instances that both decide about a key because the confirmation of a transfer was lost. */
+    /** Guards against two instances that both decide about a key after the confirmation of a transfer was lost. */
     @Test
     void successorWithoutAnAnnouncementDoesNotDecide() {
         String key = a.issue();
         a.transferUnconfirmedTo(b);
 
-        assertThat(a.outcome(key)).as("the owner decides on").isEqualTo(Outcome.DONE);
+        assertThat(a.outcome(key)).as("the owner still decides").isEqualTo(Outcome.DONE);
         assertThat(b.outcome(key)).as("forwarded to the owner").isEqualTo(Outcome.DONE);
         assertThat(fleet.runsOf(key)).isEqualTo(1);
 
@@ -160,7 +160,7 @@
         assertThat(b.outcome(a.issue())).isEqualTo(Outcome.UNKNOWN);
     }
 
-    /** Guards against a second run at a successor that was given up for another one. */
+    /** Guards against a second run at a successor that did not confirm, after another one took over the keys. */
     @Test
     void onlyTheAnnouncedSuccessorDecides() {
         KeyFleet.Node c = fleet.start("c", 14);
@@ -180,7 +180,7 @@
                 .isEqualTo(1);
     }
 
-    /** Guards against keys that nobody answers for after a rolling replacement under the same ids. */
+    /** Guards against keys without a deciding instance after a rolling replacement under the same ids. */
     @Test
     void tablesOutliveTheRestartOfTheirSenders() {
         String key = a.issue();
@@ -193,7 +193,7 @@
         assertThat(fleet.runsOf(key)).isEqualTo(1);
     }
 
-    /** Guards against a transferred key becoming young again, which would let it run after its rows were dropped. */
+    /** Guards against a transfer that resets the age of keys, which could run again once their records are evicted. */
     @Test
     void transferKeepsTheAgeOfKeys() {
         String unused = a.issue();
@@ -205,24 +205,24 @@
         assertThat(fleet.runsOf(unused)).isZero();
     }
 
-    /** Guards against a run at the old owner that the transferred table does not contain. */
+    /** Guards against a run at the old owner that is missing from the transferred table. */
     @Test
     void callsDuringATransferWaitForItsEnd() {
         String key = a.issue();
         a.calls.store().beginTransfer();
-        CompletableFuture<CallResult> waiting = a.call(key);
-        assertThat(waiting).isNotDone();
+        CompletableFuture<CallResult> pending = a.call(key);
+        assertThat(pending).isNotDone();
         assertThat(fleet.runsOf(key)).isZero();
 
         a.calls.store().endTransfer(Optional.empty());
 
-        assertThat(waiting.join().outcome()).isEqualTo(Outcome.DONE);
+        assertThat(pending.join().outcome()).isEqualTo(Outcome.DONE);
         assertThat(fleet.runsOf(key)).isEqualTo(1);
     }
 
-    /** Guards against keys that nobody will be able to answer for. */
+    /** Guards against new keys about which no instance decides after the shutdown. */
     @Test
-    void noKeysAreIssuedAfterTheStopHasBegun() {
+    void noKeysAreIssuedAfterIssuingWasStopped() {
         a.calls.stopIssuing();
 
         assertThat(a.calls.issue(KeyFleet.ORGANISATION, KeyFleet.KIND)).isEmpty();
--- a/entry/src/test/java/org/verbenatally/entry/operator/ErrorBudgetTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/operator/ErrorBudgetTest.java
@@ -18,9 +18,9 @@
     private final AtomicLong nanos = new AtomicLong(5);
     private final ErrorBudget budget = new ErrorBudget(nanos::get);
 
-    /** Guards against misses that are shown after their window has passed, or not shown within it. */
+    /** Guards against missed requests that are counted after their window has passed, or not counted within it. */
     @Test
-    void windowsForgetOldRequests() {
+    void windowsExcludeOldRequests() {
         count(8, Service.MET);
         count(1, Service.LATE);
         count(1, Service.LOST);
@@ -33,15 +33,15 @@
 
         nanos.addAndGet(TimeUnit.MINUTES.toNanos(55));
         assertThat(window(2).getLong("requests")).isZero();
-        assertThat(budget.burn(0.95).getJsonArray("organisations")).isEmpty();
+        assertThat(budget.report(0.95).getJsonArray("organisations")).isEmpty();
     }
 
-    /** Guards against a report that hides which organisation suffers. */
+    /** Guards against a report that omits the organisations with the most missed requests. */
     @Test
     void organisationsThatMissedMostComeFirst() {
         budget.count(GUIDE, new OrganisationId("gibe"), Service.MET);
         count(2, Service.STALLED);
-        JsonObject first = budget.burn(0.95).getJsonArray("organisations").getJsonObject(0);
+        JsonObject first = budget.report(0.95).getJsonArray("organisations").getJsonObject(0);
         assertThat(first.getString("organisation")).isEqualTo("tana");
         assertThat(first.getLong("stalled")).isEqualTo(2);
     }
@@ -53,7 +53,7 @@
     }
 
     private JsonObject window(int index) {
-        return budget.burn(0.95)
+        return budget.report(0.95)
                 .getJsonArray("kinds")
                 .getJsonObject(0)
                 .getJsonArray("windows")
