--- a/entry/src/main/java/org/verbenatally/entry/EntryServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/EntryServer.java
@@ -84,8 +84,7 @@
      * Starts listening. The server becomes ready once it has a configuration.
      *
      * @return the ports on which the server listens
-     *
-     * @throws java.util.concurrent.CompletionException if a port is in use or startup takes longer than 20 seconds
+     * @throws java.util.concurrent.CompletionException if a port is in use or a startup step takes over 20 seconds
      */
     public Ports start() {
         Context context = createTaskContext();
@@ -132,9 +131,9 @@
                 .filter(instance -> instance.role() != PlatformInstance.Role.ENTRY && instance.leaving())
                 .map(instance -> new TargetId(instance.id()))
                 .collect(Collectors.toSet());
-        boolean hasNew = !targets.knownLeaving().containsAll(listed);
+        boolean hasNewLeaving = !targets.knownLeaving().containsAll(listed);
         targets.listedLeaving(listed);
-        if (hasNew) {
+        if (hasNewLeaving) {
             peers.push();
         }
     }
--- a/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
+++ b/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
@@ -40,7 +40,7 @@
     /**
      * Creates a shutdown whose time limit starts now.
      *
-     * @param timeout time from now after which callers with open requests must reconnect
+     * @param timeout time limit for open requests, whose callers must then reconnect, and for the transfer of the keys
      */
     GracefulShutdown(CallerServer callers, PeerNetwork peers, Duration timeout) {
         this.callers = Objects.requireNonNull(callers, "callers");
@@ -98,12 +98,12 @@
             while (remaining().isPositive()) {
                 Optional<InstanceId> successor = chooseSuccessor();
                 if (successor.isPresent() && transfer(store, successor.get())) {
-                    LOG.infof("key: %s has taken over the keys", successor.get());
+                    LOG.infof("key: %s has adopted the keys", successor.get());
                     return;
                 }
                 TimeUnit.NANOSECONDS.sleep(TRANSFER_RETRY_DELAY.toNanos());
             }
-            LOG.warn("key: no successor has taken over the keys");
+            LOG.warn("key: no successor has adopted the keys");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -129,7 +129,7 @@
         return confirmed.isPresent();
     }
 
-    /** Returns the next live member in id order, so that several leaving instances choose different successors. */
+    /** Returns the next live member in id order, to distribute the keys of several leaving instances over the fleet. */
     private Optional<InstanceId> chooseSuccessor() {
         List<InstanceId> live = peers.members().stream()
                 .filter(member -> member.status() == MemberInfo.Status.LIVE)
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -104,9 +104,9 @@
     }
 
     private static int compare(Target a, Target b, Map<String, TargetLoad> loads) {
-        int busyA = loads.containsKey(a.id().value()) ? 0 : 1;
-        int busyB = loads.containsKey(b.id().value()) ? 0 : 1;
-        return busyA != busyB ? busyA - busyB : a.id().compareTo(b.id());
+        int rankA = loads.containsKey(a.id().value()) ? 0 : 1;
+        int rankB = loads.containsKey(b.id().value()) ? 0 : 1;
+        return rankA != rankB ? rankA - rankB : a.id().compareTo(b.id());
     }
 
     private static JsonObject target(Target target, TargetLoad load, Set<TargetId> leaving) {
--- a/entry/src/main/java/org/verbenatally/entry/key/ForwardFrames.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/ForwardFrames.java
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Writes the owner's result. */
+    /** Returns the frame with the owner's result. */
     static ForwardResult write(long callId, CallResult result) {
         ForwardResult frame = new ForwardResult();
         frame.setCallId(callId);
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
@@ -25,10 +25,11 @@
 import org.verbenatally.wire.KeyTransfer;
 
 /**
- * The key tables for which this instance is the authority: its own, and those transferred to it by leaving instances.
- * No key is decided while the tables are being transferred, so that the successor receives every used key. A successor
- * decides only after the sender has announced it. A sender whose transfer was not confirmed resumes deciding or chooses
- * another successor; if two instances decided about one key, its call could run twice.
+ * The key tables with which this instance decides about keys: its own, and those that leaving instances have
+ * transferred to it. A decision runs the call of a key or returns the result of an earlier one. No decision is made
+ * while the tables are being transferred, so that the successor receives every used key. A successor decides only after
+ * the sender has announced it. A sender whose transfer was not confirmed resumes deciding or chooses another successor;
+ * if two instances decided about one key, its call could run twice.
  */
 public final class KeyStore {
     private static final Logger LOG = Logger.getLogger(KeyStore.class);
@@ -58,7 +59,7 @@
     /** A table of another incarnation; {@code active} once the sender has announced this instance as its successor. */
     private record Adopted(KeyTable table, LongSupplier uptimeMs, IncarnationId sender, AtomicBoolean active) {}
 
-    /** Where, and whether now, a key is decided. */
+    /** Where, and whether at present, the decision about a key is made. */
     sealed interface Location {}
 
     /** This instance decides with this table. */
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyTable.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyTable.java
@@ -175,7 +175,9 @@
     /**
      * A used key in a transfer.
      *
+     * @param key the idempotency key
      * @param issuedAtMs uptime of the issuing incarnation when it issued the key, in milliseconds
+     * @param result the final result, or one with the outcome {@code UNKNOWN}
      */
     record UsedKey(String key, long issuedAtMs, CallResult result) {}
 
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
@@ -119,7 +119,7 @@
                 });
     }
 
-    /** Waits for the announcement of a transfer that may still be in transit, then runs the call. */
+    /** Handles the call once the announcement of a transfer, which may still be in transit, has arrived. */
     private CompletableFuture<CallResult> awaitAnnouncement(CallRunner.Call call, int remainingPolls) {
         CompletableFuture<CallResult> result = new CompletableFuture<>();
         timer.after(ANNOUNCEMENT_POLL_INTERVAL, () -> {
@@ -143,6 +143,7 @@
         if (!table.hasValidSignature(call.key())) {
             return completed(notRun("the signature of the key is not valid"));
         }
+        // The hash is never 0, which marks an unknown body.
         long bodyHash = Hashing.komihash5_0().hashBytesToLong(call.body()) | 1;
         return switch (table.claim(call.key(), key, bodyHash)) {
             case KeyTable.Granted granted -> run(table, call);
--- a/entry/src/test/java/org/verbenatally/entry/FakeEngine.java
+++ b/entry/src/test/java/org/verbenatally/entry/FakeEngine.java
@@ -139,7 +139,7 @@
         int faultOffset = faultParts.length > 1 ? Integer.parseInt(faultParts[1]) : Integer.MAX_VALUE;
         for (int offset = from; offset < TOKENS; offset++) {
             if (first && offset == faultOffset) {
-                if (fail(request, generation, faultParts[0], offset)) {
+                if (injectFault(request, generation, faultParts[0], offset)) {
                     return;
                 }
                 continue;
@@ -165,7 +165,7 @@
     }
 
     /** Injects a fault instead of a token; returns whether the response ends there. */
-    private boolean fail(HttpServerRequest request, Generation generation, String fault, int offset) {
+    private boolean injectFault(HttpServerRequest request, Generation generation, String fault, int offset) {
         HttpServerResponse response = request.response();
         switch (fault) {
             case "drop" -> close(request);
--- a/entry/src/test/java/org/verbenatally/entry/FakeService.java
+++ b/entry/src/test/java/org/verbenatally/entry/FakeService.java
@@ -54,7 +54,7 @@
         }
         if (fault.equals("status-503")) {
             runs.incrementAndGet();
-            request.response().setStatusCode(503).end("{\"reason\":\"nobody knows\"}");
+            request.response().setStatusCode(503).end("{\"reason\":\"some other reason\"}");
             return;
         }
         int run = runs.incrementAndGet();
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
@@ -56,7 +56,7 @@
         assertThat(fleet.runsOf(key)).isZero();
     }
 
-    /** Guards against a run of a call after its caller was told that it was not run, which is final. */
+    /** Guards against running a call after its caller has received the outcome not-run, which is final. */
     @Test
     void notRunIsFinal() {
         String key = a.issue();
@@ -68,7 +68,7 @@
         assertThat(a.outcome(key)).isEqualTo(Outcome.NOT_RUN);
     }
 
-    /** Guards against a second run of an expired key, whose record may have been evicted after the first. */
+    /** Guards against running an expired key, whose record may have been evicted after an earlier run. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
     void expiredKeyIsUnknownAndNotRun(boolean usedBefore) {
@@ -160,7 +160,7 @@
         assertThat(b.outcome(a.issue())).isEqualTo(Outcome.UNKNOWN);
     }
 
-    /** Guards against a second run at a successor that did not confirm, after another one took over the keys. */
+    /** Guards against a second run at a successor that did not confirm, after another one adopted the keys. */
     @Test
     void onlyTheAnnouncedSuccessorDecides() {
         KeyFleet.Node c = fleet.start("c", 14);
@@ -176,7 +176,7 @@
         restarted.transferTo(b);
         b.outcome(key);
         assertThat(fleet.runsOf(key))
-                .as("the announcement of a later run does not count")
+                .as("the announcement of a later incarnation does not count")
                 .isEqualTo(1);
     }
 
