--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -23,11 +23,12 @@
 import org.verbenatally.policy.TargetTable;
 import org.verbenatally.wire.TargetLoad;
 
-/** The state of this entry as operators see it. */
+/** Builds the status and error-budget reports that operators read. */
 final class StatusView {
-    /** Targets shown; at full size the busy ones are shown first. */
+    /** Maximum number of targets shown. Those with requests of this entry in flight come first. */
     private static final int MAX_TARGETS = 256;
 
+    /** Fraction of requests that must meet their service levels, until a configuration states the objective. */
     private static final double DEFAULT_OBJECTIVE = 0.95;
 
     private final String instance;
@@ -37,7 +38,7 @@
     private final CallerServer callers;
     private final Dispatcher dispatcher;
     private final EntryMetrics metrics;
-    private final Supplier<Optional<String>> notReady;
+    private final Supplier<Optional<String>> notReadyReason;
 
     StatusView(
             String instance,
@@ -47,7 +48,7 @@
             CallerServer callers,
             Dispatcher dispatcher,
             EntryMetrics metrics,
-            Supplier<Optional<String>> notReady) {
+            Supplier<Optional<String>> notReadyReason) {
         this.instance = Objects.requireNonNull(instance, "instance");
         this.config = Objects.requireNonNull(config, "config");
         this.peers = Objects.requireNonNull(peers, "peers");
@@ -55,11 +56,12 @@
         this.callers = Objects.requireNonNull(callers, "callers");
         this.dispatcher = Objects.requireNonNull(dispatcher, "dispatcher");
         this.metrics = Objects.requireNonNull(metrics, "metrics");
-        this.notReady = Objects.requireNonNull(notReady, "notReady");
+        this.notReadyReason = Objects.requireNonNull(notReadyReason, "notReadyReason");
     }
 
+    /** Returns the state of this entry, the members that it knows and its targets. */
     JsonObject status() {
-        Optional<String> reason = notReady.get();
+        Optional<String> reason = notReadyReason.get();
         JsonObject json = new JsonObject()
                 .put("instance", instance)
                 .put("incarnation", peers.incarnation().toString())
@@ -102,9 +104,9 @@
     }
 
     private static int compare(Target a, Target b, Map<String, TargetLoad> loads) {
-        int busyA = loads.containsKey(a.id().value()) ? 0 : 1;
-        int busyB = loads.containsKey(b.id().value()) ? 0 : 1;
-        return busyA != busyB ? busyA - busyB : a.id().compareTo(b.id());
+        int rankA = loads.containsKey(a.id().value()) ? 0 : 1;
+        int rankB = loads.containsKey(b.id().value()) ? 0 : 1;
+        return rankA != rankB ? rankA - rankB : a.id().compareTo(b.id());
     }
 
     private static JsonObject target(Target target, TargetLoad load, Set<TargetId> leaving) {
@@ -116,10 +118,10 @@
                 .put("ownTokens", load == null ? 0 : load.getTokens());
     }
 
-    /** Returns the use of the error budget. */
-    JsonObject burn() {
+    /** Returns the consumption of the error budget, by kind and by organisation. */
+    JsonObject errorBudget() {
         return metrics.budget()
-                .burn(config.deployment().map(d -> d.levels().objective()).orElse(DEFAULT_OBJECTIVE))
+                .report(config.deployment().map(d -> d.levels().objective()).orElse(DEFAULT_OBJECTIVE))
                 .put("instance", instance);
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/EntryFixture.java
+++ b/entry/src/test/java/org/verbenatally/entry/EntryFixture.java
@@ -22,9 +22,9 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.config.SettingsReader;
 
-/** One entry in this process with fake engines, services and platform, and a client for its callers. */
+/** One entry in this process, with fake engines, services and platform, and an HTTP client for callers. */
 final class EntryFixture implements AutoCloseable {
-    private static final Duration BOUND = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     final Queue<String> engineFaults = new ConcurrentLinkedQueue<>();
     final Queue<String> serviceFaults = new ConcurrentLinkedQueue<>();
@@ -36,7 +36,7 @@
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(BOUND)
+            .connectTimeout(TIMEOUT)
             .build();
 
     EntryFixture() throws Exception {
@@ -145,10 +145,10 @@
     }
 
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + BOUND.toNanos();
+        long end = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("condition did not come true in " + BOUND);
+                throw new AssertionError("condition was not met within " + TIMEOUT);
             }
             Thread.onSpinWait();
         }
@@ -162,7 +162,7 @@
         return send(request(ports.operator(), method, path, null));
     }
 
-    /** Sends a request of organisation tana; headers are pairs of name and value, and replace those of tana. */
+    /** Sends a request of organisation tana. Headers are pairs of name and value; they replace the headers of tana. */
     HttpResponse<String> call(String method, String path, String body, String... headers) {
         return send(caller(method, path, body, headers));
     }
@@ -185,7 +185,7 @@
 
     private static HttpRequest request(int port, String method, String path, String body) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-                .timeout(BOUND)
+                .timeout(TIMEOUT)
                 .method(
                         method,
                         body == null ? HttpRequest.BodyPublishers.noBody() : HttpRequest.BodyPublishers.ofString(body))
@@ -202,7 +202,7 @@
         }
     }
 
-    /** Sends a request whose body is read line by line. */
+    /** Sends a request whose response is read line by line. */
     HttpResponse<java.util.stream.Stream<String>> open(HttpRequest request) throws Exception {
         return client.send(request, HttpResponse.BodyHandlers.ofLines());
     }
@@ -210,7 +210,7 @@
     @Override
     public void close() {
         server.close();
-        server.drained().join();
+        server.closeFuture().join();
         vertx.close().toCompletionStage().toCompletableFuture().join();
         client.shutdownNow();
     }
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
@@ -26,7 +26,7 @@
 import org.verbenatally.wire.ForwardResult;
 import org.verbenatally.wire.KeyTransfer;
 
-/** Entries whose key owners reach each other directly, and a runner that counts the runs of each key. */
+/** Entries that exchange forwarded calls and key tables in memory, with a runner that counts the runs of each key. */
 final class KeyFleet {
     static final OrganisationId ORGANISATION = new OrganisationId("tana");
     static final KindName KIND = new KindName("order-booking");
@@ -36,21 +36,21 @@
     private final Map<InstanceId, Node> nodes = new ConcurrentHashMap<>();
     private final Map<Announcement, InstanceId> announcements = new ConcurrentHashMap<>();
 
-    private record Announcement(InstanceId owner, Incarnation run) {}
+    private record Announcement(InstanceId owner, Incarnation incarnation) {}
 
-    /** One entry. */
+    /** One entry, which is also its own peer network. */
     final class Node implements PeerNetwork {
         private final InstanceId id;
-        private final Incarnation run;
+        private final Incarnation incarnation;
         final KeyedCalls calls;
         volatile boolean reachable = true;
         volatile CallRunner runner = call -> CompletableFuture.completedFuture(
                 CallResult.done(200, ("{\"run\":" + count(call.key()) + "}").getBytes(), "service"));
 
-        Node(String name, long incarnation) {
+        Node(String name, long number) {
             id = new InstanceId(name);
-            run = new Incarnation(incarnation);
-            KeyIssuer issuer = new KeyIssuer(id, run, timer::nanos);
+            incarnation = new Incarnation(number);
+            KeyIssuer issuer = new KeyIssuer(id, incarnation, timer::nanos);
             calls = new KeyedCalls(issuer, call -> runner.run(call), this, timer);
         }
 
@@ -67,13 +67,14 @@
             return call(key).join().outcome();
         }
 
+        /** Transfers the tables to the successor and announces it. */
         void transferTo(Node successor) {
             sendTables(successor);
-            announcements.put(new Announcement(id, run), successor.id);
+            announcements.put(new Announcement(id, incarnation), successor.id);
             calls.store().endTransfer(Optional.of(successor.id));
         }
 
-        /** Transfers the tables as far as the successor, whose confirmation is lost. */
+        /** Transfers the tables to the successor, but loses its confirmation. */
         void transferUnconfirmedTo(Node successor) {
             sendTables(successor);
             calls.store().endTransfer(Optional.empty());
@@ -81,7 +82,7 @@
 
         private void sendTables(Node successor) {
             calls.store().beginTransfer();
-            for (List<KeyTransfer> table : calls.store().parts()) {
+            for (List<KeyTransfer> table : calls.store().transferParts()) {
                 table.forEach(part -> successor.calls.store().adopt(id, part));
             }
         }
@@ -93,7 +94,7 @@
 
         @Override
         public Incarnation incarnation() {
-            return run;
+            return incarnation;
         }
 
         @Override
@@ -102,7 +103,7 @@
             nodes.values()
                     .forEach(node -> members.add(new MemberInfo(
                             node.id,
-                            node.run,
+                            node.incarnation,
                             new Address("127.0.0.1", 1),
                             new FailureDomain("Bole"),
                             MemberInfo.Status.LIVE,
@@ -113,9 +114,9 @@
 
         @Override
         public CompletableFuture<ForwardResult> forward(
-                InstanceId owner, Incarnation ownerRun, ForwardCall call, Duration timeout) {
+                InstanceId owner, Incarnation ownerIncarnation, ForwardCall call, Duration timeout) {
             Node node = nodes.get(owner);
-            if (node == null || !node.reachable || !node.run.equals(ownerRun)) {
+            if (node == null || !node.reachable || !node.incarnation.equals(ownerIncarnation)) {
                 return CompletableFuture.failedFuture(
                         new StepException(Step.FORWARD, owner.value(), Outcome.UNKNOWN, "cannot be reached"));
             }
@@ -131,8 +132,8 @@
         public void announceKeySuccessor(InstanceId successor) {}
 
         @Override
-        public boolean isKeySuccessorOf(InstanceId owner, Incarnation ownerRun) {
-            return id.equals(announcements.get(new Announcement(owner, ownerRun)));
+        public boolean isKeySuccessorOf(InstanceId owner, Incarnation ownerIncarnation) {
+            return id.equals(announcements.get(new Announcement(owner, ownerIncarnation)));
         }
 
         @Override
