--- a/core/src/main/java/org/verbenatally/core/Address.java
+++ b/core/src/main/java/org/verbenatally/core/Address.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * Where a process listens.
+ * Address on which a process listens.
  *
- * @param host an IP number; names are not resolved
+ * @param host an IP address; host names are not resolved
  * @param port 1 to 65,535
  */
 public record Address(String host, int port) {
     private static final int MAX_PORT = 65_535;
 
     /**
-     * Checks the parts.
+     * Checks the components.
      *
      * @throws IllegalArgumentException if the host is blank or the port is out of range
      */
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Reads {@code host:port}.
+     * Parses {@code host:port}.
      *
-     * @throws IllegalArgumentException if the text has another form
+     * @throws IllegalArgumentException if the text does not have this form
      */
     public static Address parse(String text) {
         int colon = text.lastIndexOf(':');
--- a/core/src/main/java/org/verbenatally/core/ConfigVersion.java
+++ b/core/src/main/java/org/verbenatally/core/ConfigVersion.java
@@ -1,7 +1,7 @@
 package org.verbenatally.core;
 
 /**
- * The version of a deployment document. A higher version replaces a lower one, never the other way round.
+ * The version of a deployment document. A higher version replaces a lower one, never the reverse.
  *
  * @param value 0 (no document yet) or a positive number
  */
--- a/core/src/main/java/org/verbenatally/core/FailureDomain.java
+++ b/core/src/main/java/org/verbenatally/core/FailureDomain.java
@@ -3,14 +3,14 @@
 /**
  * Names a failure domain: the set of instances that one outage can take down together.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record FailureDomain(String value) implements Comparable<FailureDomain> {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public FailureDomain {
         Names.check("failure domain", value);
--- a/core/src/main/java/org/verbenatally/core/GenerationId.java
+++ b/core/src/main/java/org/verbenatally/core/GenerationId.java
@@ -6,13 +6,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Identifies one attempt to generate an answer on an engine. A retry on another engine gets a new id.
+ * Identifies one attempt to generate a response on an engine. A retry on another engine gets a new id.
  *
  * @param value 32 lower-case hexadecimal digits (128 bits)
  */
 public record GenerationId(String value) {
     private static final int BYTES = 16;
-    private static final Pattern FORM = Pattern.compile("[0-9a-f]{32}");
+    private static final Pattern SYNTAX = Pattern.compile("[0-9a-f]{32}");
     private static final SecureRandom RANDOM = new SecureRandom();
 
     /**
@@ -22,7 +22,7 @@
      */
     public GenerationId {
         Objects.requireNonNull(value, "generation id");
-        if (!FORM.matcher(value).matches()) {
+        if (!SYNTAX.matcher(value).matches()) {
             throw new IllegalArgumentException("generation id must be 32 lower-case hexadecimal digits");
         }
     }
--- a/core/src/main/java/org/verbenatally/core/Incarnation.java
+++ b/core/src/main/java/org/verbenatally/core/Incarnation.java
@@ -3,8 +3,8 @@
 import java.security.SecureRandom;
 
 /**
- * Tells one run of a process from the next under the same instance id. The upper 44 bits hold the start time in
- * milliseconds since the epoch, the lower 20 bits are random, so that two starts in one millisecond differ.
+ * Distinguishes successive runs of a process under the same instance id. The upper 44 bits hold the start time in
+ * milliseconds since the epoch, the lower 20 bits are random, so that two starts within the same millisecond differ.
  *
  * @param value the 64 bits, positive
  */
@@ -28,8 +28,9 @@
         return new Incarnation(epochMillis << RANDOM_BITS | RANDOM.nextInt(1 << RANDOM_BITS));
     }
 
-    // Written out: the generated method of a record looks up its components by method handles, which the first-tier
-    // compiler does not inline, and ids are compared for each row that peers pass on.
+    // Written by hand: the equals and hashCode methods generated for a record access its components through method
+    // handles, which the first-tier compiler (C1) does not inline, and ids are compared for each record that peers pass
+    // on.
     @Override
     public boolean equals(Object other) {
         return other instanceof Incarnation that && value == that.value;
--- a/core/src/main/java/org/verbenatally/core/InstanceId.java
+++ b/core/src/main/java/org/verbenatally/core/InstanceId.java
@@ -1,23 +1,24 @@
 package org.verbenatally.core;
 
 /**
- * Identifies one entry instance, as its settings and the platform's instance list name it.
+ * Identifies an entry instance, as named in its settings and in the platform's instance list.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record InstanceId(String value) implements Comparable<InstanceId> {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public InstanceId {
         Names.check("instance id", value);
     }
 
-    // Written out: the generated method of a record looks up its components by method handles, which the first-tier
-    // compiler does not inline, and ids are compared for each row that peers pass on.
+    // Written by hand: the equals and hashCode methods generated for a record access its components through method
+    // handles, which the first-tier compiler (C1) does not inline, and ids are compared for each record that peers pass
+    // on.
     @Override
     public boolean equals(Object other) {
         return other instanceof InstanceId that && value.equals(that.value);
--- a/core/src/main/java/org/verbenatally/core/KindName.java
+++ b/core/src/main/java/org/verbenatally/core/KindName.java
@@ -1,16 +1,16 @@
 package org.verbenatally.core;
 
 /**
- * Names a kind of work of a deployment, such as {@code quote-check}.
+ * Names a kind of work in a deployment, such as {@code quote-check}.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record KindName(String value) implements Comparable<KindName> {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public KindName {
         Names.check("kind name", value);
--- a/core/src/main/java/org/verbenatally/core/LogEvent.java
+++ b/core/src/main/java/org/verbenatally/core/LogEvent.java
@@ -7,8 +7,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * One structured log line about a decision: its name, the request, what decided it, and the outcome. The JSON form of
- * {@link Logging} writes each part as a field of its own.
+ * A structured log line about a decision: its name, the request, the inputs of the decision and the outcome. The JSON
+ * format of {@link Logging} writes each of them as a separate field.
  */
 public final class LogEvent {
     private final String name;
@@ -23,12 +23,12 @@
         return new LogEvent(name);
     }
 
-    /** Adds the request that the event is about. */
+    /** Adds the id of the request that the event concerns. */
     public LogEvent request(String id) {
         return with("request", id);
     }
 
-    /** Adds a field; numbers and booleans keep their type, all else is written as text. */
+    /** Adds a field; numbers and booleans keep their type, any other value is written as text. */
     public LogEvent with(String field, Object value) {
         fields.put(field, value instanceof Number || value instanceof Boolean ? value : String.valueOf(value));
         return this;
--- a/core/src/main/java/org/verbenatally/core/LineLimit.java
+++ b/core/src/main/java/org/verbenatally/core/LogRateLimiter.java
@@ -7,43 +7,43 @@
 
 import org.jboss.logging.Logger;
 
-/** Bounds the log lines of each second; lines of level WARN and above pass. Tells how many were left out. */
-final class LineLimit implements Filter {
-    private static final Logger LOG = Logger.getLogger(LineLimit.class);
+/** Limits the log lines per second; lines at level WARN and above always pass. Reports how many lines were dropped. */
+final class LogRateLimiter implements Filter {
+    private static final Logger LOG = Logger.getLogger(LogRateLimiter.class);
 
     private final int linesPerSecond;
     private long second;
     private int lines;
-    private int leftOut;
+    private int dropped;
 
-    LineLimit(int linesPerSecond) {
+    LogRateLimiter(int linesPerSecond) {
         this.linesPerSecond = linesPerSecond;
     }
 
     @Override
-    public boolean isLoggable(LogRecord line) {
-        if (line.getLevel().intValue() >= Level.WARNING.intValue()) {
+    public boolean isLoggable(LogRecord logRecord) {
+        if (logRecord.getLevel().intValue() >= Level.WARNING.intValue()) {
             return true;
         }
-        int missed = 0;
+        int unreported = 0;
         boolean passes;
         synchronized (this) {
             long now = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
             if (now != second) {
                 second = now;
                 lines = 0;
-                missed = leftOut;
-                leftOut = 0;
+                unreported = dropped;
+                dropped = 0;
             }
             passes = lines < linesPerSecond;
             if (passes) {
                 lines++;
             } else {
-                leftOut++;
+                dropped++;
             }
         }
-        if (missed > 0) {
-            LogEvent.of("log.leftOut").with("lines", missed).warn(LOG);
+        if (unreported > 0) {
+            LogEvent.of("log.leftOut").with("lines", unreported).warn(LOG);
         }
         return passes;
     }
--- a/core/src/main/java/org/verbenatally/core/Logging.java
+++ b/core/src/main/java/org/verbenatally/core/Logging.java
@@ -18,42 +18,47 @@
 import org.jboss.logmanager.handlers.ConsoleHandler;
 import org.verbenatally.settings.LogSettings;
 
-/** Sets up log output of a process: level and form by setting, always to standard error. */
+/** Configures the log output of a process. */
 public final class Logging {
     private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSSXXX} %-5p %s%e%n";
 
-    /** Lines that wait to be written; a burst of a second fits. */
-    private static final int QUEUED_LINES = 1_024;
+    /** Maximum number of lines that wait to be written; holds a burst of one second. */
+    private static final int QUEUE_CAPACITY = 1_024;
 
     private Logging() {}
 
-    /** Replaces the handlers of the root logger according to the settings. */
+    /**
+     * Replaces the handlers of the root logger by one that writes to standard error, at the level and in the format
+     * of the settings.
+     */
     public static void configure(LogSettings settings) {
-        ExtFormatter formatter = settings.getJson() ? new JsonLines() : new PatternFormatter(PATTERN);
+        ExtFormatter formatter = settings.getJson() ? new JsonLinesFormatter() : new PatternFormatter(PATTERN);
         var handler = new ConsoleHandler(ConsoleHandler.Target.SYSTEM_ERR, formatter);
         handler.setLevel(Level.ALL);
-        // Netty and Vert.x write many lines below INFO that say nothing about this system.
+        // Netty and Vert.x write many lines below INFO that are of no use for diagnosing this system.
         boolean debug = settings.getLevel() == LogSettings.Level.DEBUG;
-        replace(handler, level(settings.getLevel()), debug ? Level.INFO : null);
+        replaceHandlers(handler, level(settings.getLevel()), debug ? Level.INFO : null);
     }
 
     /**
-     * Sends structured lines to standard output, one JSON object each. Never blocks: lines that come faster than they
-     * can be written, or than {@code linesPerSecond}, are left out and counted.
+     * Replaces the handlers of the root logger by one that writes JSON to standard output, one object per line. Never
+     * blocks: lines above {@code linesPerSecond} are dropped and counted, and lines that do not fit into the queue are
+     * dropped.
      *
-     * @param linesPerSecond most lines a second below level WARN
+     * @param linesPerSecond maximum number of lines per second below level WARN
      */
     public static void configureStructured(int linesPerSecond) {
-        var console = new ConsoleHandler(ConsoleHandler.Target.SYSTEM_OUT, new JsonLines());
+        var console = new ConsoleHandler(ConsoleHandler.Target.SYSTEM_OUT, new JsonLinesFormatter());
         console.setLevel(Level.ALL);
-        var async = new AsyncHandler(QUEUED_LINES);
+        var async = new AsyncHandler(QUEUE_CAPACITY);
         async.setOverflowAction(AsyncHandler.OverflowAction.DISCARD);
         async.addHandler(console);
-        async.setFilter(new LineLimit(linesPerSecond));
-        replace(async, Level.INFO, Level.WARN);
+        async.setFilter(new LogRateLimiter(linesPerSecond));
+        replaceHandlers(async, Level.INFO, Level.WARN);
     }
 
-    private static void replace(Handler handler, java.util.logging.Level level, java.util.logging.Level libraryLevel) {
+    private static void replaceHandlers(
+            Handler handler, java.util.logging.Level level, java.util.logging.Level libraryLevel) {
         var root = LogContext.getLogContext().getLogger("");
         for (Handler old : root.getHandlers()) {
             root.removeHandler(old);
@@ -75,27 +80,27 @@
         };
     }
 
-    /** Formats each record as one JSON object a line. */
-    static final class JsonLines extends ExtFormatter {
+    /** Formats each record as a JSON object on a line of its own. */
+    static final class JsonLinesFormatter extends ExtFormatter {
         private static final ObjectMapper MAPPER = new ObjectMapper();
 
         @Override
-        public String format(ExtLogRecord r) {
+        public String format(ExtLogRecord logRecord) {
             Map<String, Object> fields = new LinkedHashMap<>();
-            fields.put("time", r.getInstant().toString());
-            fields.put("level", r.getLevel().getName());
-            if (r.getParameters() != null
-                    && r.getParameters().length == 1
-                    && r.getParameters()[0] instanceof LogEvent e) {
-                fields.put("event", e.name());
-                fields.putAll(e.fields());
+            fields.put("time", logRecord.getInstant().toString());
+            fields.put("level", logRecord.getLevel().getName());
+            if (logRecord.getParameters() != null
+                    && logRecord.getParameters().length == 1
+                    && logRecord.getParameters()[0] instanceof LogEvent event) {
+                fields.put("event", event.name());
+                fields.putAll(event.fields());
             } else {
-                fields.put("logger", r.getLoggerName());
-                fields.put("thread", r.getThreadName());
-                fields.put("message", r.getFormattedMessage());
+                fields.put("logger", logRecord.getLoggerName());
+                fields.put("thread", logRecord.getThreadName());
+                fields.put("message", logRecord.getFormattedMessage());
             }
-            if (r.getThrown() != null) {
-                fields.put("error", r.getThrown().toString());
+            if (logRecord.getThrown() != null) {
+                fields.put("error", logRecord.getThrown().toString());
             }
             try {
                 return MAPPER.writeValueAsString(fields) + "\n";
--- a/core/src/main/java/org/verbenatally/core/ModelName.java
+++ b/core/src/main/java/org/verbenatally/core/ModelName.java
@@ -3,14 +3,14 @@
 /**
  * Names a model that engines can load.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record ModelName(String value) implements Comparable<ModelName> {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public ModelName {
         Names.check("model name", value);
--- a/core/src/main/java/org/verbenatally/core/Names.java
+++ b/core/src/main/java/org/verbenatally/core/Names.java
@@ -2,7 +2,7 @@
 
 import java.util.Objects;
 
-/** Checks the text form that all string ids share. */
+/** Checks the syntax that all string ids share. */
 final class Names {
     private static final int MAX_LENGTH = 128;
 
@@ -13,11 +13,14 @@
         Objects.requireNonNull(value, what);
         if (value.isEmpty() || value.length() > MAX_LENGTH || !isAllowed(value)) {
             throw new IllegalArgumentException(
-                    what + " must be 1 to 128 characters out of letters, digits, '.', '_', ':' and '-'");
+                    what + " must be 1 to 128 characters from letters, digits, '.', '_', ':' and '-'");
         }
     }
 
-    /** A loop, as ids are checked for each row that peers pass on, and a pattern takes most of that time. */
+    /**
+     * A loop rather than a regular expression, which takes most of the time of a check, and ids are checked for each
+     * record that peers pass on.
+     */
     private static boolean isAllowed(String value) {
         for (int i = 0; i < value.length(); i++) {
             if (!isAllowed(value.charAt(i))) {
--- a/core/src/main/java/org/verbenatally/core/OrganisationId.java
+++ b/core/src/main/java/org/verbenatally/core/OrganisationId.java
@@ -3,14 +3,14 @@
 /**
  * Identifies the organisation a caller belongs to.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record OrganisationId(String value) implements Comparable<OrganisationId> {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public OrganisationId {
         Names.check("organisation id", value);
--- a/core/src/main/java/org/verbenatally/core/Outcome.java
+++ b/core/src/main/java/org/verbenatally/core/Outcome.java
@@ -1,12 +1,12 @@
 package org.verbenatally.core;
 
-/** What the system knows about whether a request ran. Every answer to a caller carries one. */
+/** What is known about whether a request ran. Every response to a caller carries an outcome. */
 public enum Outcome {
-    /** The request ran and the answer is whole. */
+    /** The request ran and its response is complete. */
     DONE("done"),
     /** The request did not run and will not run. */
     NOT_RUN("not-run"),
-    /** The request may have reached a target; nobody can tell whether it ran. */
+    /** The request may have reached a target; whether it ran cannot be determined. */
     UNKNOWN("unknown");
 
     private final String text;
@@ -21,9 +21,9 @@
     }
 
     /**
-     * Reads the value of the {@code Outcome} header.
+     * Parses the value of the {@code Outcome} header.
      *
-     * @throws IllegalArgumentException if the text is none of the three
+     * @throws IllegalArgumentException if the text is none of the three values
      */
     public static Outcome parse(String text) {
         for (Outcome outcome : values()) {
--- a/core/src/main/java/org/verbenatally/core/Program.java
+++ b/core/src/main/java/org/verbenatally/core/Program.java
@@ -9,37 +9,37 @@
 import org.apache.commons.cli.help.HelpFormatter;
 
 /**
- * A program as its command line shows it. Help, version and the answer to wrong usage are the same for all programs.
+ * A command-line program. All programs handle the help option, the version option and usage errors in the same way.
  *
- * @param name its name
- * @param arguments what follows the options, for the help; may be empty
- * @param summary what it does, in a sentence
- * @param options its own options
- * @param main its main class, whose package states the version
+ * @param name name of the program
+ * @param arguments arguments after the options, as the help shows them; may be empty
+ * @param summary one sentence on what the program does
+ * @param options options of the program
+ * @param main main class, whose package provides the version
  */
 public record Program(String name, String arguments, String summary, Options options, Class<?> main) {
-    /** Exit status of a program that did what it was asked to do. */
+    /** Exit status of a program that succeeded. */
     public static final int OK = 0;
-    /** Exit status of a program that failed to run, or found what it looks for. */
+    /** Exit status of a program that failed to run, or that found a fault it looks for. */
     public static final int FAILED = 1;
-    /** Exit status after wrong arguments or settings. */
+    /** Exit status after invalid arguments or settings. */
     public static final int USAGE = 2;
 
-    /** What a program does with its arguments. */
+    /** The work of a program after its arguments have been parsed. */
     @FunctionalInterface
     public interface Body {
         /**
          * Runs the program.
          *
          * @return the exit status
-         * @throws ParseException if the arguments do not fit together
+         * @throws ParseException if an argument is missing or the arguments contradict each other
          * @throws IllegalArgumentException if an argument is malformed
          * @throws Exception if the program fails in a way that it does not report itself
          */
         int run(CommandLine line) throws Exception;
     }
 
-    /** Adds the options that all programs have. */
+    /** Adds the options that all programs share. */
     public Program {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(arguments, "arguments");
@@ -49,7 +49,7 @@
         options.addOption("v", "version", false, "print the version and exit");
     }
 
-    /** Runs a program whose other threads go on after its main one; ends the process only if it failed. */
+    /** Runs a program whose other threads may outlive its main thread; exits the process only if the program failed. */
     public void start(String[] args, Body body) throws Exception {
         int status = run(args, body);
         if (status != OK) {
--- a/core/src/main/java/org/verbenatally/core/RouteName.java
+++ b/core/src/main/java/org/verbenatally/core/RouteName.java
@@ -1,16 +1,16 @@
 package org.verbenatally.core;
 
 /**
- * Identifies a rule that sends requests of one host and path prefix to services.
+ * Identifies a route, a rule that sends the requests for one host and path prefix to services.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record RouteName(String value) {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public RouteName {
         Names.check("route name", value);
--- a/core/src/main/java/org/verbenatally/core/ServiceName.java
+++ b/core/src/main/java/org/verbenatally/core/ServiceName.java
@@ -3,14 +3,14 @@
 /**
  * Identifies a group of targets that serve the same requests.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record ServiceName(String value) {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public ServiceName {
         Names.check("service name", value);
--- a/core/src/main/java/org/verbenatally/core/Step.java
+++ b/core/src/main/java/org/verbenatally/core/Step.java
@@ -18,18 +18,18 @@
     SEND,
     /** Waiting for the first token. */
     FIRST_TOKEN,
-    /** Passing tokens on. */
+    /** Relaying tokens to the caller. */
     STREAM,
     /** Resuming a stream at a later offset. */
     RESUME,
     /** Forwarding a call to the entry that owns its idempotency key. */
     FORWARD,
-    /** Reading, checking or spreading configuration. */
+    /** Reading, checking or disseminating configuration. */
     CONFIGURE,
-    /** Giving an order to a target. */
+    /** Sending an order to a target. */
     ORDER;
 
-    /** Returns the name as problem documents show it, for example {@code first-token}. */
+    /** Returns the name in the form used by problem documents, for example {@code first-token}. */
     public String text() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/core/src/main/java/org/verbenatally/core/StepException.java
+++ b/core/src/main/java/org/verbenatally/core/StepException.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * The error that crosses module boundaries: it names the step and the peer at which it arose, and what is known about
+ * Failure that crosses module boundaries. It names the step and the peer at which it occurred, and what is known about
  * the request. Futures fail with it.
  */
 public final class StepException extends RuntimeException {
@@ -17,10 +17,10 @@
     private final transient Duration retryAfter;
 
     /**
-     * Creates an error.
+     * Creates an exception.
      *
-     * @param step where it arose
-     * @param peer the instance, target or caller on the other side
+     * @param step step at which it occurred
+     * @param peer name of the instance, target or caller on the other side
      * @param outcome what is known about the request
      * @param message one short sentence
      */
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Creates an error with a cause.
+     * Creates an exception with a cause.
      *
-     * @param step where it arose
-     * @param peer the instance, target or caller on the other side
+     * @param step step at which it occurred
+     * @param peer name of the instance, target or caller on the other side
      * @param outcome what is known about the request
      * @param message one short sentence
      * @param cause the underlying failure, or {@code null}
@@ -42,14 +42,14 @@
     }
 
     /**
-     * Creates an error that says when a new try makes sense.
+     * Creates an exception that states after which time a retry makes sense.
      *
-     * @param step where it arose
-     * @param peer the instance, target or caller on the other side
+     * @param step step at which it occurred
+     * @param peer name of the instance, target or caller on the other side
      * @param outcome what is known about the request
      * @param message one short sentence
      * @param cause the underlying failure, or {@code null}
-     * @param retryAfter when a new try makes sense, or {@code null}
+     * @param retryAfter time after which a retry makes sense, or {@code null}
      */
     public StepException(
             Step step, String peer, Outcome outcome, String message, Throwable cause, Duration retryAfter) {
@@ -60,12 +60,12 @@
         this.retryAfter = retryAfter;
     }
 
-    /** Returns the step at which the error arose. */
+    /** Returns the step at which the failure occurred. */
     public Step step() {
         return step;
     }
 
-    /** Returns the name of the other side. */
+    /** Returns the name of the instance, target or caller on the other side. */
     public String peer() {
         return peer;
     }
@@ -75,7 +75,7 @@
         return outcome;
     }
 
-    /** Returns when a new try makes sense, if it does. */
+    /** Returns the time after which a retry makes sense, if one does. */
     public Optional<Duration> retryAfter() {
         return Optional.ofNullable(retryAfter);
     }
--- a/core/src/main/java/org/verbenatally/core/TargetId.java
+++ b/core/src/main/java/org/verbenatally/core/TargetId.java
@@ -3,21 +3,22 @@
 /**
  * Identifies a target: a model engine or a plain service.
  *
- * @param value 1 to 128 characters out of letters, digits, dot, underscore, colon and hyphen
+ * @param value 1 to 128 characters: letters, digits, dots, underscores, colons and hyphens
  */
 public record TargetId(String value) implements Comparable<TargetId> {
 
     /**
      * Checks the value.
      *
-     * @throws IllegalArgumentException if the value is empty, too long or holds another character
+     * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public TargetId {
         Names.check("target id", value);
     }
 
-    // Written out: the generated method of a record looks up its components by method handles, which the first-tier
-    // compiler does not inline, and ids are compared for each row that peers pass on.
+    // Written by hand: the equals and hashCode methods generated for a record access its components through method
+    // handles, which the first-tier compiler (C1) does not inline, and ids are compared for each record that peers pass
+    // on.
     @Override
     public boolean equals(Object other) {
         return other instanceof TargetId that && value.equals(that.value);
--- a/core/src/main/java/org/verbenatally/time/SystemTimerService.java
+++ b/core/src/main/java/org/verbenatally/time/SystemTimerService.java
@@ -15,26 +15,26 @@
 
 import org.jboss.logging.Logger;
 
-/** The timer service of a process. One daemon thread runs all callbacks in the order in which they are due. */
+/** Timer service on the system clocks. One daemon thread runs all callbacks in the order in which they are due. */
 public final class SystemTimerService implements TimerService {
     private static final Logger LOG = Logger.getLogger(SystemTimerService.class);
 
-    /** Time between two looks at the clocks. */
-    static final Duration PAUSE_CHECK = Duration.ofMillis(100);
+    /** Maximum time between two comparisons of the clocks. */
+    static final Duration PAUSE_CHECK_INTERVAL = Duration.ofMillis(100);
 
-    /** Lost time from which on a pause is announced; garbage collections of a small heap stay far below. */
+    /** Lost time above which a pause is reported; garbage collections of a small heap stay far below it. */
     static final Duration PAUSE_THRESHOLD = Duration.ofSeconds(1);
 
     private final LongSupplier nanoClock;
     private final LongSupplier wallClock;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition changed = lock.newCondition();
-    private final PriorityQueue<Entry> queue =
-            new PriorityQueue<>(Comparator.<Entry>comparingLong(e -> e.due).thenComparingLong(e -> e.serial));
+    private final Condition queueChanged = lock.newCondition();
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.<ScheduledTask>comparingLong(t -> t.dueNanos).thenComparingLong(t -> t.sequence));
     private final List<Consumer<Duration>> pauseListeners = new CopyOnWriteArrayList<>();
-    private final AtomicLong pauses = new AtomicLong();
+    private final AtomicLong pauseCount = new AtomicLong();
     private final Thread thread;
-    private long serial;
+    private long sequence;
     private volatile boolean closed;
     private volatile long lastNanos;
     private long lastWall;
@@ -63,16 +63,17 @@
     }
 
     @Override
-    public Subscription every(Duration period, Consumer<Tick> task) {
+    public Subscription every(Duration period, Consumer<Tick> callback) {
         if (!period.isPositive()) {
             throw new IllegalArgumentException("period must be positive: " + period);
         }
-        return add(period, period.toNanos(), late -> task.accept(new Tick(nanos(), Duration.ofNanos(late))));
+        return add(
+                period, period.toNanos(), lateness -> callback.accept(new Tick(nanos(), Duration.ofNanos(lateness))));
     }
 
     @Override
-    public Subscription after(Duration delay, Runnable task) {
-        return add(delay, 0, late -> task.run());
+    public Subscription after(Duration delay, Runnable callback) {
+        return add(delay, 0, lateness -> callback.run());
     }
 
     @Override
@@ -81,12 +82,12 @@
         return () -> pauseListeners.remove(listener);
     }
 
-    /** {@inheritDoc} Counts a pause from the moment of the resume, even if the service's thread has not run yet. */
+    /** {@inheritDoc} A pause counts as soon as the process resumes, even if the service's thread has not run yet. */
     @Override
     public long pauseGeneration() {
-        long passed = TimeUnit.NANOSECONDS.toMillis(nanos() - lastNanos);
-        boolean unannounced = passed - PAUSE_CHECK.toMillis() > PAUSE_THRESHOLD.toMillis();
-        return pauses.get() + (unannounced ? 1 : 0);
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(nanos() - lastNanos);
+        boolean unreported = elapsedMillis - PAUSE_CHECK_INTERVAL.toMillis() > PAUSE_THRESHOLD.toMillis();
+        return pauseCount.get() + (unreported ? 1 : 0);
     }
 
     @Override
@@ -94,31 +95,32 @@
         closed = true;
         lock.lock();
         try {
-            changed.signalAll();
+            queueChanged.signalAll();
         } finally {
             lock.unlock();
         }
     }
 
-    private Subscription add(Duration delay, long period, LongConsumer task) {
+    private Subscription add(Duration delay, long periodNanos, LongConsumer callback) {
         lock.lock();
         try {
-            Entry entry = new Entry(nanos() + Math.max(0, delay.toNanos()), period, serial++, task);
-            queue.add(entry);
-            if (queue.peek() == entry) {
-                changed.signalAll();
+            ScheduledTask task =
+                    new ScheduledTask(nanos() + Math.max(0, delay.toNanos()), periodNanos, sequence++, callback);
+            queue.add(task);
+            if (queue.peek() == task) {
+                queueChanged.signalAll();
             }
-            return () -> cancel(entry);
+            return () -> cancel(task);
         } finally {
             lock.unlock();
         }
     }
 
-    private void cancel(Entry entry) {
-        entry.cancelled = true;
+    private void cancel(ScheduledTask task) {
+        task.cancelled = true;
         lock.lock();
         try {
-            queue.remove(entry);
+            queue.remove(task);
         } finally {
             lock.unlock();
         }
@@ -126,32 +128,32 @@
 
     private void run() {
         while (!closed) {
-            Entry due = awaitDue();
-            // Checked before each callback, so that no overdue one runs before the pause is announced.
+            ScheduledTask next = awaitDueTask();
+            // Checked before each callback, so that a pause is reported before any overdue callback runs.
             checkClocks();
-            if (due != null && !due.cancelled) {
+            if (next != null && !next.cancelled) {
                 long now = nanos();
-                call(() -> due.task.accept(Math.max(0, now - due.due)));
-                reschedule(due);
+                call(() -> next.callback.accept(Math.max(0, now - next.dueNanos)));
+                reschedule(next);
             }
         }
     }
 
-    /** Waits for the next callback, at most one pause check period; returns {@code null} if none is due. */
-    private Entry awaitDue() {
+    /** Waits for the next task, at most one pause check interval; returns {@code null} if none is due. */
+    private ScheduledTask awaitDueTask() {
         lock.lock();
         try {
             long now = nanos();
-            Entry next = queue.peek();
-            long wait = PAUSE_CHECK.toNanos();
+            ScheduledTask next = queue.peek();
+            long wait = PAUSE_CHECK_INTERVAL.toNanos();
             if (next != null) {
-                wait = Math.min(wait, next.due - now);
+                wait = Math.min(wait, next.dueNanos - now);
             }
             if (wait > 0 && !closed) {
-                changed.awaitNanos(wait);
+                queueChanged.awaitNanos(wait);
             }
             next = queue.peek();
-            return next != null && next.due - nanos() <= 0 ? queue.poll() : null;
+            return next != null && next.dueNanos - nanos() <= 0 ? queue.poll() : null;
         } catch (InterruptedException e) {
             closed = true;
             return null;
@@ -161,65 +163,65 @@
     }
 
     /**
-     * Compares both clocks with the last check. The monotonic clock shows a stopped process; the wall clock also shows
-     * a suspended machine, whose monotonic clock stands still.
+     * Compares both clocks with their values at the last check. The monotonic clock reveals a stopped process; the wall
+     * clock also reveals a suspended machine, on which the monotonic clock does not advance.
      */
     private void checkClocks() {
         long now = nanos();
         long wall = epochMillis();
-        long passed = TimeUnit.NANOSECONDS.toMillis(now - lastNanos);
-        long lost = Math.max(passed, wall - lastWall) - PAUSE_CHECK.toMillis();
-        boolean paused = lost > PAUSE_THRESHOLD.toMillis();
+        long elapsedMillis = TimeUnit.NANOSECONDS.toMillis(now - lastNanos);
+        long lostMillis = Math.max(elapsedMillis, wall - lastWall) - PAUSE_CHECK_INTERVAL.toMillis();
+        boolean paused = lostMillis > PAUSE_THRESHOLD.toMillis();
         if (paused) {
-            pauses.incrementAndGet();
+            pauseCount.incrementAndGet();
         }
         lastNanos = now;
         lastWall = wall;
         if (paused) {
-            Duration duration = Duration.ofMillis(lost);
-            LOG.warnf("time: process was paused for %d ms", lost);
+            Duration duration = Duration.ofMillis(lostMillis);
+            LOG.warnf("time: process was paused for %d ms", lostMillis);
             pauseListeners.forEach(l -> call(() -> l.accept(duration)));
         }
     }
 
-    private void reschedule(Entry entry) {
-        if (entry.period == 0 || entry.cancelled) {
+    private void reschedule(ScheduledTask task) {
+        if (task.periodNanos == 0 || task.cancelled) {
             return;
         }
         long now = nanos();
-        // Missed periods are skipped; a burst of overdue ticks after a pause would serve nobody.
-        long next = entry.due + entry.period;
-        entry.due = next - now > 0 ? next : now + entry.period;
+        // Skips missed periods: a burst of overdue ticks after a pause would be of no use.
+        long next = task.dueNanos + task.periodNanos;
+        task.dueNanos = next - now > 0 ? next : now + task.periodNanos;
         lock.lock();
         try {
-            if (!entry.cancelled) {
-                queue.add(entry);
+            if (!task.cancelled) {
+                queue.add(task);
             }
         } finally {
             lock.unlock();
         }
     }
 
-    private static void call(Runnable task) {
+    private static void call(Runnable callback) {
         try {
-            task.run();
+            callback.run();
         } catch (RuntimeException e) {
             LOG.error("time: callback failed", e);
         }
     }
 
-    private static final class Entry {
-        private long due;
-        private final long period;
-        private final long serial;
-        private final LongConsumer task;
+    private static final class ScheduledTask {
+        private long dueNanos;
+        private final long periodNanos;
+        private final long sequence;
+        private final LongConsumer callback;
         private volatile boolean cancelled;
 
-        Entry(long due, long period, long serial, LongConsumer task) {
-            this.due = due;
-            this.period = period;
-            this.serial = serial;
-            this.task = task;
+        ScheduledTask(long dueNanos, long periodNanos, long sequence, LongConsumer callback) {
+            this.dueNanos = dueNanos;
+            this.periodNanos = periodNanos;
+            this.sequence = sequence;
+            this.callback = callback;
         }
     }
 }
--- a/core/src/main/java/org/verbenatally/time/TimedAwait.java
+++ b/core/src/main/java/org/verbenatally/time/TimedAwait.java
@@ -9,26 +9,26 @@
 import io.vertx.core.Vertx;
 
 /**
- * Waits in a virtual-thread task. {@link Future#await(long, TimeUnit)} of Vert.x 5.0.7 must not be used: after a
+ * Timed waits for virtual-thread tasks. {@link Future#await(long, TimeUnit)} of Vert.x 5.0.7 must not be used: after a
  * timeout the next wait of the same task fails with an {@link IllegalStateException}.
  */
 public final class TimedAwait {
     private TimedAwait() {}
 
     /**
-     * Waits until the future has completed.
+     * Waits until the future has completed and returns its result.
      *
-     * @throws TimeoutException if it has not completed within the limit, which is at least one millisecond
+     * @throws TimeoutException if it has not completed within the limit; a limit below one millisecond counts as one
      */
     public static <T> T await(Future<T> future, Duration limit) throws TimeoutException {
         return future.timeout(Math.max(1, limit.toMillis()), TimeUnit.MILLISECONDS)
                 .await();
     }
 
-    /** Lets the given time pass, at least one millisecond. */
+    /** Suspends the task for the given time, but at least for one millisecond. */
     public static void pause(Vertx vertx, Duration time) {
-        Promise<Void> over = Promise.promise();
-        vertx.setTimer(Math.max(1, time.toMillis()), id -> over.complete());
-        over.future().await();
+        Promise<Void> elapsed = Promise.promise();
+        vertx.setTimer(Math.max(1, time.toMillis()), id -> elapsed.complete());
+        elapsed.future().await();
     }
 }
--- a/core/src/main/java/org/verbenatally/time/TimerService.java
+++ b/core/src/main/java/org/verbenatally/time/TimerService.java
@@ -4,42 +4,45 @@
 import java.util.function.Consumer;
 
 /**
- * Periodic and delayed work for the parts of a process, on the monotonic clock. One service runs per process; its owner
- * passes it to each part. Callbacks run one at a time on the service's own thread and must not block.
+ * Schedules periodic and delayed callbacks on the monotonic clock. A process has one timer service, which its owner
+ * passes to each component. Callbacks run one at a time on the service's own thread and must not block.
  */
 public interface TimerService extends AutoCloseable {
 
-    /** Ends the delivery of callbacks to one subscriber. */
+    /** Handle that cancels a registered callback. */
     @FunctionalInterface
     interface Subscription {
-        /** Ends the subscription; calling it again does nothing. */
+        /** Cancels the callback; further calls have no effect. */
         void cancel();
     }
 
     /**
-     * One periodic callback.
+     * One invocation of a periodic callback.
      *
-     * @param nanos monotonic time of the call, in nanoseconds
-     * @param lateness how much later than planned the call is made
+     * @param nanos monotonic time of the invocation, in nanoseconds
+     * @param lateness delay of the invocation behind its scheduled time
      */
     record Tick(long nanos, Duration lateness) {}
 
     /** Returns the monotonic time, in nanoseconds. */
     long nanos();
 
-    /** Returns the wall clock, in milliseconds since the epoch. */
+    /** Returns the wall-clock time, in milliseconds since the epoch. */
     long epochMillis();
 
-    /** Calls the task each {@code period} until the subscription is cancelled. */
-    Subscription every(Duration period, Consumer<Tick> task);
+    /** Runs the callback once per {@code period} until the subscription is cancelled. */
+    Subscription every(Duration period, Consumer<Tick> callback);
 
-    /** Calls the task once after {@code delay}, unless the subscription is cancelled before. */
-    Subscription after(Duration delay, Runnable task);
+    /** Runs the callback once after {@code delay}, unless the subscription is cancelled first. */
+    Subscription after(Duration delay, Runnable callback);
 
-    /** Calls the listener with the time lost whenever the process was paused for more than a second. */
+    /** Calls the listener with the lost time whenever the process was paused for more than a second. */
     Subscription onPause(Consumer<Duration> listener);
 
-    /** Returns how many pauses have been noticed; a part compares two readings before it acts on older state. */
+    /**
+     * Returns the number of pauses detected so far. A component compares two readings to find out whether the process
+     * was paused in between, before it acts on state from the time of the first one.
+     */
     long pauseGeneration();
 
     @Override
--- a/core/src/main/java/org/verbenatally/time/package-info.java
+++ b/core/src/main/java/org/verbenatally/time/package-info.java
@@ -1,2 +1,2 @@
-/** The timer service: periodic and delayed work, and notice of pauses of the process. */
+/** The timer service: periodic and delayed callbacks, and detection of pauses of the process. */
 package org.verbenatally.time;
--- a/core/src/test/java/org/verbenatally/core/InstanceIdTest.java
+++ b/core/src/test/java/org/verbenatally/core/InstanceIdTest.java
@@ -7,22 +7,22 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatIllegalArgumentException;
 
-/** The text form and the equality that all string ids share. */
+/** Tests the syntax and the equality that all string ids share. */
 class InstanceIdTest {
     @ParameterizedTest
     @ValueSource(strings = {"a", "Z", "0", "front-bole_1.x:8", "-"})
-    void acceptsLettersDigitsAndFourSigns(String value) {
+    void acceptsLettersDigitsAndFourPunctuationCharacters(String value) {
         assertThat(new InstanceId(value).value()).isEqualTo(value);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "a b", "a/b", "@", "[", "`", "{", "é", "a\n", "\u0661"})
-    void refusesOthers(String value) {
+    void rejectsOtherCharactersAndEmptyIds(String value) {
         assertThatIllegalArgumentException().isThrownBy(() -> new InstanceId(value));
     }
 
     @Test
-    void refusesLongOnes() {
+    void rejectsMoreThan128Characters() {
         assertThat(new InstanceId("x".repeat(128)).value()).hasSize(128);
         assertThatIllegalArgumentException().isThrownBy(() -> new InstanceId("x".repeat(129)));
     }
--- a/core/src/test/java/org/verbenatally/core/ProgramTest.java
+++ b/core/src/test/java/org/verbenatally/core/ProgramTest.java
@@ -14,19 +14,19 @@
     private final Program program =
             new Program("test", "FILE", "Tests.", new Options().addOption("x", "number", true, ""), ProgramTest.class);
 
-    /** Guards against a program that runs although it was asked for its help, or has unknown arguments. */
+    /** Guards against a program that runs although it was asked for help, or was given invalid options. */
     @ParameterizedTest
     @CsvSource({"--help, 0", "-v, 0", "--unknown, 2", "--number, 2"})
-    void doesNotRun(String argument, int status) throws Exception {
+    void doesNotRunForHelpVersionOrInvalidOptions(String argument, int status) throws Exception {
         AtomicInteger runs = new AtomicInteger();
         assertThat(program.run(new String[] {argument}, line -> runs.incrementAndGet()))
                 .isEqualTo(status);
         assertThat(runs).hasValue(0);
     }
 
-    /** Guards against a stack trace where a sentence about the argument is due. */
+    /** Guards against a stack trace in place of a message that names the malformed argument. */
     @Test
-    void malformedArgumentsAreWrongUsage() throws Exception {
+    void reportsMalformedArgumentsAsUsageErrors() throws Exception {
         assertThat(program.run(new String[] {"-x", "one"}, line -> Integer.parseInt(line.getOptionValue("x"))))
                 .isEqualTo(Program.USAGE);
         assertThat(program.run(new String[] {}, line -> {
--- a/core/src/test/java/org/verbenatally/time/ManualTimer.java
+++ b/core/src/test/java/org/verbenatally/time/ManualTimer.java
@@ -5,11 +5,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** A clock that moves only when a test says so; it calls nobody back. */
+/** Timer service whose clock advances only when a test advances it; it never runs callbacks. */
 public final class ManualTimer implements TimerService {
     private final AtomicLong nanos = new AtomicLong(TimeUnit.SECONDS.toNanos(1));
 
-    /** Moves the clock forward. */
+    /** Advances the clock. */
     public void advance(Duration time) {
         nanos.addAndGet(time.toNanos());
     }
@@ -25,12 +25,12 @@
     }
 
     @Override
-    public Subscription every(Duration period, Consumer<Tick> task) {
+    public Subscription every(Duration period, Consumer<Tick> callback) {
         return () -> {};
     }
 
     @Override
-    public Subscription after(Duration delay, Runnable task) {
+    public Subscription after(Duration delay, Runnable callback) {
         return () -> {};
     }
 
--- a/core/src/test/java/org/verbenatally/time/PausableTimers.java
+++ b/core/src/test/java/org/verbenatally/time/PausableTimers.java
@@ -6,55 +6,58 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.Consumer;
 
-/** A timer service of a process that can be stopped and continued, as by SIGSTOP, and whose clock can be moved. */
+/**
+ * Timer service of a process that can be paused and resumed, as by SIGSTOP and SIGCONT, and whose monotonic clock can
+ * be advanced.
+ */
 public final class PausableTimers implements TimerService {
-    private final SystemTimerService real = new SystemTimerService();
+    private final SystemTimerService delegate = new SystemTimerService();
     private final List<Consumer<Duration>> listeners = new CopyOnWriteArrayList<>();
-    private final AtomicLong skipped = new AtomicLong();
-    private final AtomicLong pauses = new AtomicLong();
-    private volatile boolean stopped;
+    private final AtomicLong advancedNanos = new AtomicLong();
+    private final AtomicLong pauseCount = new AtomicLong();
+    private volatile boolean paused;
 
-    /** Delivers no callbacks until {@link #resume}. */
+    /** Suppresses callbacks until {@link #resume}. */
     public void pause() {
-        stopped = true;
+        paused = true;
     }
 
-    /** Continues after a pause that is noticed. */
+    /** Ends the pause and reports it to the pause listeners with the given lost time. */
     public void resume(Duration lost) {
-        pauses.incrementAndGet();
+        pauseCount.incrementAndGet();
         listeners.forEach(l -> l.accept(lost));
-        stopped = false;
+        paused = false;
     }
 
-    /** Moves the monotonic clock without a pause. */
+    /** Advances the monotonic clock without reporting a pause. */
     public void advance(Duration time) {
-        skipped.addAndGet(time.toNanos());
+        advancedNanos.addAndGet(time.toNanos());
     }
 
     @Override
     public long nanos() {
-        return real.nanos() + skipped.get();
+        return delegate.nanos() + advancedNanos.get();
     }
 
     @Override
     public long epochMillis() {
-        return real.epochMillis();
+        return delegate.epochMillis();
     }
 
     @Override
-    public Subscription every(Duration period, Consumer<Tick> task) {
-        return real.every(period, t -> {
-            if (!stopped) {
-                task.accept(t);
+    public Subscription every(Duration period, Consumer<Tick> callback) {
+        return delegate.every(period, tick -> {
+            if (!paused) {
+                callback.accept(tick);
             }
         });
     }
 
     @Override
-    public Subscription after(Duration delay, Runnable task) {
-        return real.after(delay, () -> {
-            if (!stopped) {
-                task.run();
+    public Subscription after(Duration delay, Runnable callback) {
+        return delegate.after(delay, () -> {
+            if (!paused) {
+                callback.run();
             }
         });
     }
@@ -67,11 +70,11 @@
 
     @Override
     public long pauseGeneration() {
-        return pauses.get();
+        return pauseCount.get();
     }
 
     @Override
     public void close() {
-        real.close();
+        delegate.close();
     }
 }
--- a/core/src/test/java/org/verbenatally/time/SystemTimerServiceTest.java
+++ b/core/src/test/java/org/verbenatally/time/SystemTimerServiceTest.java
@@ -13,68 +13,72 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class SystemTimerServiceTest {
-    private final AtomicLong stopped = new AtomicLong();
-    private final AtomicLong wallJump = new AtomicLong();
+    private final AtomicLong pausedNanos = new AtomicLong();
+    private final AtomicLong wallClockJumpMillis = new AtomicLong();
     private final BlockingQueue<String> events = new LinkedBlockingQueue<>();
 
-    private SystemTimerService service() {
+    private SystemTimerService newService() {
         return new SystemTimerService(
-                () -> System.nanoTime() + stopped.get(), () -> System.currentTimeMillis() + wallJump.get());
+                () -> System.nanoTime() + pausedNanos.get(),
+                () -> System.currentTimeMillis() + wallClockJumpMillis.get());
     }
 
-    /** Guards against overdue work that acts on old state because it runs before the pause is known. */
+    /** Guards against overdue callbacks that act on stale state because they run before the pause is reported. */
     @Test
-    void announcesPauseBeforeOverdueTick() throws InterruptedException {
-        try (var timers = service()) {
+    void reportsPauseBeforeOverdueCallback() throws InterruptedException {
+        try (var timers = newService()) {
             timers.onPause(lost -> events.add("pause"));
             timers.after(Duration.ofSeconds(30), () -> events.add("tick"));
-            stopped.addAndGet(TimeUnit.SECONDS.toNanos(40));
-            assertThat(List.of(next(), next())).containsExactly("pause", "tick");
+            pausedNanos.addAndGet(TimeUnit.SECONDS.toNanos(40));
+            assertThat(List.of(nextEvent(), nextEvent())).containsExactly("pause", "tick");
             assertThat(timers.pauseGeneration()).isEqualTo(1);
         }
     }
 
-    /** Guards against a suspended machine, whose monotonic clock stands still, being taken for no pause. */
+    /**
+     * Guards against missing the suspension of a machine, during which only the wall clock advances and the monotonic
+     * clock does not.
+     */
     @Test
-    void noticesPauseThatOnlyTheWallClockShows() throws InterruptedException {
-        try (var timers = service()) {
+    void detectsPauseThatOnlyTheWallClockReveals() throws InterruptedException {
+        try (var timers = newService()) {
             timers.onPause(lost -> events.add("pause"));
-            wallJump.addAndGet(20_000);
-            assertThat(next()).isEqualTo("pause");
+            wallClockJumpMillis.addAndGet(20_000);
+            assertThat(nextEvent()).isEqualTo("pause");
         }
     }
 
-    /** Guards against a burst of overdue ticks after a pause and against a failed callback that ends all others. */
+    /** Guards against a burst of overdue ticks after a pause, and against a failed callback that stops all others. */
     @Test
-    void skipsMissedPeriodsAndSurvivesFailures() throws InterruptedException {
-        try (var timers = service()) {
-            var three = new CountDownLatch(3);
+    void skipsMissedPeriodsAndContinuesAfterFailedCallbacks() throws InterruptedException {
+        try (var timers = newService()) {
+            var threeTicks = new CountDownLatch(3);
             timers.every(Duration.ofMillis(10), t -> {
-                three.countDown();
+                threeTicks.countDown();
                 throw new IllegalStateException("injected");
             });
-            assertThat(three.await(30, TimeUnit.SECONDS)).isTrue();
-            var hourly = new AtomicLong();
-            timers.every(Duration.ofHours(1), t -> hourly.incrementAndGet());
-            var paused = new CountDownLatch(1);
-            timers.onPause(lost -> timers.after(Duration.ofMillis(50), paused::countDown));
-            stopped.addAndGet(TimeUnit.HOURS.toNanos(5) + TimeUnit.MINUTES.toNanos(30));
-            assertThat(paused.await(30, TimeUnit.SECONDS)).isTrue();
-            assertThat(hourly).hasValue(1);
+            assertThat(threeTicks.await(30, TimeUnit.SECONDS)).isTrue();
+            var hourlyTicks = new AtomicLong();
+            timers.every(Duration.ofHours(1), t -> hourlyTicks.incrementAndGet());
+            var afterPause = new CountDownLatch(1);
+            timers.onPause(lost -> timers.after(Duration.ofMillis(50), afterPause::countDown));
+            pausedNanos.addAndGet(TimeUnit.HOURS.toNanos(5) + TimeUnit.MINUTES.toNanos(30));
+            assertThat(afterPause.await(30, TimeUnit.SECONDS)).isTrue();
+            assertThat(hourlyTicks).hasValue(1);
         }
     }
 
-    /** Guards against callbacks into parts that were already closed. */
+    /** Guards against callbacks into components that are already closed. */
     @Test
     void cancelledCallbacksDoNotRun() throws InterruptedException {
-        try (var timers = service()) {
+        try (var timers = newService()) {
             timers.after(Duration.ofMillis(50), () -> events.add("cancelled")).cancel();
             timers.after(Duration.ofMillis(100), () -> events.add("kept"));
-            assertThat(next()).isEqualTo("kept");
+            assertThat(nextEvent()).isEqualTo("kept");
         }
     }
 
-    private String next() throws InterruptedException {
+    private String nextEvent() throws InterruptedException {
         return events.poll(30, TimeUnit.SECONDS);
     }
 }
--- a/core/src/test/java/org/verbenatally/time/TimedAwaitTest.java
+++ b/core/src/test/java/org/verbenatally/time/TimedAwaitTest.java
@@ -25,10 +25,10 @@
         vertx.close();
     }
 
-    /** Guards against requests that never end because a task cannot wait again after a timeout. */
+    /** Guards against requests that never end because a task cannot wait again after one of its waits timed out. */
     @Test
     void taskCanWaitAgainAfterATimeout() throws Exception {
-        CompletableFuture<String> seen = new CompletableFuture<>();
+        CompletableFuture<String> result = new CompletableFuture<>();
         VerticleBase task = new VerticleBase() {
             @Override
             public Future<?> start() {
@@ -39,15 +39,15 @@
                                 .isInstanceOf(TimeoutException.class);
                         Promise<String> later = Promise.promise();
                         vertx.setTimer(20, id -> later.complete("second"));
-                        seen.complete(later.future().await());
+                        result.complete(later.future().await());
                     } catch (Throwable e) {
-                        seen.completeExceptionally(e);
+                        result.completeExceptionally(e);
                     }
                 });
                 return Future.succeededFuture();
             }
         };
         vertx.deployVerticle(task, new DeploymentOptions().setThreadingModel(ThreadingModel.VIRTUAL_THREAD));
-        assertThat(seen.get(30, TimeUnit.SECONDS)).isEqualTo("second");
+        assertThat(result.get(30, TimeUnit.SECONDS)).isEqualTo("second");
     }
 }
