--- a/core/src/main/java/org/verbenatally/config/AnswersReader.java
+++ b/core/src/main/java/org/verbenatally/config/AnswersReader.java
@@ -5,7 +5,7 @@
 
 import org.verbenatally.settings.AnswersDocument;
 
-/** Reads answers to the questionnaire: JSON with comments, checked against {@code answers.schema.json}. */
+/** Reads answers to the questionnaire: JSON with comments, validated against {@code answers.schema.json}. */
 public final class AnswersReader {
     private static final JsonChecker<AnswersDocument> CHECKER =
             new JsonChecker<>(AnswersDocument.class, "answers.schema.json");
@@ -17,7 +17,7 @@
      *
      * @param source name of the document for error messages
      * @param json the document, at most {@link ConfigReader#MAX_BYTES}
-     * @throws ConfigException if the answers do not match the schema; lists every fault
+     * @throws ConfigException if the answers do not match the schema; lists the faults
      */
     public static AnswersDocument read(String source, byte[] json) throws ConfigException {
         Objects.requireNonNull(json, "json");
--- a/core/src/main/java/org/verbenatally/config/ConfigException.java
+++ b/core/src/main/java/org/verbenatally/config/ConfigException.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 import java.util.stream.Collectors;
 
-/** A settings or deployment document that is not accepted. It lists every fault that was found. */
+/** Thrown when a settings, deployment or answers document is invalid. Lists the faults that were found. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -12,22 +12,22 @@
     private final transient List<Fault> faults;
 
     /**
-     * One fault.
+     * A fault in a document.
      *
-     * @param line line in the document, from 1; 0 if the fault has no place
-     * @param field JSON pointer of the field, empty for the document as a whole
+     * @param line line number in the document, from 1; 0 if the fault has no location
+     * @param field JSON pointer of the field, empty for the entire document
      * @param expected what is wrong and what was expected
      */
     public record Fault(int line, String field, String expected) {
         @Override
         public String toString() {
-            String place = line > 0 ? "line " + line + ": " : "";
-            return place + (field.isEmpty() ? "document" : field) + ": " + expected;
+            String location = line > 0 ? "line " + line + ": " : "";
+            return location + (field.isEmpty() ? "document" : field) + ": " + expected;
         }
     }
 
     /**
-     * Creates an error.
+     * Creates an exception.
      *
      * @param source name of the document, as shown to the operator
      * @param faults the faults, at least one
--- a/core/src/main/java/org/verbenatally/config/ConfigHolder.java
+++ b/core/src/main/java/org/verbenatally/config/ConfigHolder.java
@@ -5,37 +5,40 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Holds the configuration in force in one process. The process owns one and passes it to each part.
+ * Holds the configuration in force in a process. The process owns one holder and passes it to each component.
  *
- * @param <D> the kind of deployment
+ * @param <D> kind of deployment
  */
 public final class ConfigHolder<D extends VersionedDeployment> {
     private final AtomicReference<ConfigDocumentInForce<D>> current = new AtomicReference<>();
 
     /**
-     * A deployment with the bytes it was read from.
+     * A deployment and the bytes from which it was read.
      *
-     * @param <D> the kind of deployment
-     * @param deployment the checked deployment
+     * @param <D> kind of deployment
+     * @param deployment deployment that passed all checks
      * @param digest SHA-256 of the bytes, 32 bytes
      * @param body the document as published
      */
     public record ConfigDocumentInForce<D extends VersionedDeployment>(D deployment, byte[] digest, byte[] body) {}
 
-    /** Returns the deployment in force, or empty before the first document was accepted. */
+    /** Returns the deployment in force, or empty if no document has been accepted yet. */
     public Optional<D> deployment() {
         return document().map(ConfigDocumentInForce::deployment);
     }
 
-    /** Returns the document in force, or empty before the first was accepted. */
+    /** Returns the document in force, or empty if none has been accepted yet. */
     public Optional<ConfigDocumentInForce<D>> document() {
         return Optional.ofNullable(current.get());
     }
 
-    /** Puts a document in force if it is higher than the present one, and tells whether it did. */
+    /**
+     * Puts a document in force if it has a higher version than the current one or, at equal versions, a higher digest.
+     * Returns whether it did.
+     */
     public boolean offer(ConfigDocumentInForce<D> offered) {
-        ConfigDocumentInForce<D> before = current.getAndUpdate(old -> isHigher(offered, old) ? offered : old);
-        return isHigher(offered, before);
+        ConfigDocumentInForce<D> previous = current.getAndUpdate(old -> isHigher(offered, old) ? offered : old);
+        return isHigher(offered, previous);
     }
 
     private static boolean isHigher(ConfigDocumentInForce<?> offered, ConfigDocumentInForce<?> old) {
--- a/core/src/main/java/org/verbenatally/config/ConfigReader.java
+++ b/core/src/main/java/org/verbenatally/config/ConfigReader.java
@@ -26,9 +26,9 @@
 import org.verbenatally.settings.TargetDocument;
 import org.verbenatally.settings.WeightStoreDocument;
 
-/** Reads deployment documents: JSON with comments, checked against the schema and for references that must hold. */
+/** Reads deployment documents: JSON with comments, validated against the schema and for consistent references. */
 public final class ConfigReader {
-    /** Largest document, in bytes; the platform's configuration service holds values up to a megabyte. */
+    /** Maximum size of a document, in bytes; the platform's configuration service stores values of up to a megabyte. */
     public static final int MAX_BYTES = 1 << 20;
 
     private static final JsonChecker<DeploymentDocument> CHECKER =
@@ -41,7 +41,7 @@
      *
      * @param source name of the document or of the peer it came from, for error messages
      * @param json the document, at most {@link #MAX_BYTES}
-     * @throws ConfigException if the document is not accepted; lists every fault
+     * @throws ConfigException if the document is invalid; lists the faults
      */
     public static Deployment read(String source, byte[] json) throws ConfigException {
         Objects.requireNonNull(json, "json");
@@ -62,23 +62,23 @@
     }
 
     /**
-     * Reads a deployment document and keeps its bytes and digest for peers.
+     * Reads a deployment document and keeps its bytes and digest for exchange with peers.
      *
      * @param source name of the document or of the peer it came from, for error messages
      * @param json the document, at most {@link #MAX_BYTES}
-     * @throws ConfigException if the document is not accepted; lists every fault
+     * @throws ConfigException if the document is invalid; lists the faults
      */
     public static ConfigDocumentInForce<Deployment> readDocument(String source, byte[] json) throws ConfigException {
         DocumentReader<Deployment> reader = ConfigReader::read;
         return reader.readDocument(source, json);
     }
 
-    /** Returns the SHA-256 of a document. */
+    /** Returns the SHA-256 digest of a document, 32 bytes. */
     public static byte[] digest(byte[] json) {
         try {
             return MessageDigest.getInstance("SHA-256").digest(json);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("every Java platform must provide SHA-256", e);
         }
     }
 
--- a/core/src/main/java/org/verbenatally/config/Deployment.java
+++ b/core/src/main/java/org/verbenatally/config/Deployment.java
@@ -9,17 +9,17 @@
 import org.verbenatally.core.TargetId;
 
 /**
- * A deployment document that passed all checks. Immutable; get the one in force from {@link ConfigHolder}.
+ * A deployment document that passed all checks. Immutable; {@link ConfigHolder} holds the one in force.
  *
  * @param name name of the deployment
- * @param version its version
+ * @param version version of the document
  * @param entryCount planned number of entry instances
- * @param limits limits on callers' input
+ * @param limits limits on the input of callers
  * @param levels service levels
  * @param organisations organisations by id
  * @param kinds kinds of work by name
  * @param targets targets by id
- * @param loadsPerMinute most model loads a minute over all issuers
+ * @param loadsPerMinute maximum number of model loads per minute, over all issuers of orders together
  */
 public record Deployment(
         String name,
@@ -34,19 +34,19 @@
         implements VersionedDeployment {
 
     /**
-     * Limits on callers' input.
+     * Limits on the input of callers.
      *
-     * @param maxBodyBytes largest request body, in bytes
-     * @param maxQueued most requests that wait for admission at one entry
+     * @param maxBodyBytes maximum size of a request body, in bytes
+     * @param maxQueued maximum number of requests that wait for admission at one entry
      */
     public record Limits(int maxBodyBytes, int maxQueued) {}
 
     /**
      * Service levels.
      *
-     * @param firstTokenMs target for the first token, in milliseconds
-     * @param tokenGapMs target for the time between two tokens, in milliseconds
-     * @param objective share of requests that must meet the targets
+     * @param firstTokenMs target time to the first token, in milliseconds
+     * @param tokenGapMs target time between two tokens, in milliseconds
+     * @param objective fraction of requests that must meet both target times
      */
     public record Levels(int firstTokenMs, int tokenGapMs, double objective) {}
 
--- a/core/src/main/java/org/verbenatally/config/JsonChecker.java
+++ b/core/src/main/java/org/verbenatally/config/JsonChecker.java
@@ -26,9 +26,9 @@
 import com.networknt.schema.SpecVersion;
 import com.networknt.schema.ValidationMessage;
 
-/** Reads JSON with comments into a generated class and checks it against its schema. */
+/** Reads JSON with comments, validates it against a schema and binds it to the class generated from that schema. */
 final class JsonChecker<T> {
-    /** A document with more faults is cut off here; the rest rarely helps and log lines stay short. */
+    /** Maximum number of faults reported for a document; further ones rarely help, and log lines stay short. */
     private static final int MAX_FAULTS = 100;
 
     private static final JsonMapper MAPPER = JsonMapper.builder()
@@ -44,7 +44,7 @@
         this.type = type;
         try (InputStream in = type.getClassLoader().getResourceAsStream(schemaResource)) {
             JsonNode node = MAPPER.readTree(in);
-            dropGeneratorHints(node);
+            removeGeneratorKeywords(node);
             SchemaValidatorsConfig config = SchemaValidatorsConfig.builder()
                     .pathType(PathType.JSON_POINTER)
                     .locale(Locale.ROOT)
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Reads and checks a document.
+     * Reads and validates a document.
      *
-     * @throws ConfigException if it is not JSON or does not match the schema; lists every fault
+     * @throws ConfigException if it is not JSON or does not match the schema; lists at most {@link #MAX_FAULTS} faults
      */
     T read(String source, byte[] json) throws ConfigException {
         JsonNode tree = parse(source, json);
@@ -96,7 +96,7 @@
         }
         Map<String, Integer> lines = lines(json);
         return messages.stream()
-                .map(m -> fault(m, lines))
+                .map(message -> fault(message, lines))
                 .sorted(Comparator.comparingInt(ConfigException.Fault::line))
                 .limit(MAX_FAULTS)
                 .toList();
@@ -109,15 +109,18 @@
         if (unknown) {
             expected = "unknown field";
         }
-        String at = field;
+        String location = field;
         if (message.getProperty() != null) {
             field = field + "/" + message.getProperty();
-            at = unknown ? field : at;
+            location = unknown ? field : location;
         }
-        return new ConfigException.Fault(lines.getOrDefault(at, 0), field, expected);
+        return new ConfigException.Fault(lines.getOrDefault(location, 0), field, expected);
     }
 
-    /** Returns the line of each value by JSON pointer; a second pass that only documents with faults pay for. */
+    /**
+     * Returns the line number of each value by JSON pointer. This parses the document a second time, which only
+     * happens to documents with faults.
+     */
     static Map<String, Integer> lines(byte[] json) {
         Map<String, Integer> lines = new HashMap<>();
         try (JsonParser parser = MAPPER.createParser(json)) {
@@ -135,13 +138,13 @@
         return lines;
     }
 
-    /** Drops the keywords that only the class generator reads; the validator would warn about each of them. */
-    private static void dropGeneratorHints(JsonNode node) {
+    /** Removes the keywords that only the class generator reads; the validator would warn about each of them. */
+    private static void removeGeneratorKeywords(JsonNode node) {
         if (node instanceof ObjectNode object) {
             object.remove(List.of("javaType", "existingJavaType"));
         }
         List<JsonNode> children = new ArrayList<>();
         node.forEach(children::add);
-        children.forEach(JsonChecker::dropGeneratorHints);
+        children.forEach(JsonChecker::removeGeneratorKeywords);
     }
 }
--- a/core/src/main/java/org/verbenatally/config/Kind.java
+++ b/core/src/main/java/org/verbenatally/config/Kind.java
@@ -10,18 +10,18 @@
 /**
  * A kind of work.
  *
- * @param name its name
- * @param runsOn the type of target that runs it
- * @param model the model that runs it; present for engine kinds
- * @param adapter the adapter on the model, if any
- * @param urgency whether a caller waits for it at once
- * @param value how much a lost or late one costs
- * @param repeatable whether a second run does no harm
- * @param delivery token by token, or held back until whole
+ * @param name name of the kind
+ * @param runsOn type of the targets that run it
+ * @param model model that runs it; present for kinds that run on engines
+ * @param adapter adapter on the model, if any
+ * @param urgency whether a caller needs the response immediately
+ * @param value cost of a lost or late response
+ * @param repeatable whether a second run of a request is harmless
+ * @param delivery whether the response is sent token by token or only once it is complete
  * @param deadline default deadline of a request
- * @param maxTokens longest output, in tokens
- * @param typicalTokens median output length to assume before any was seen, in tokens
- * @param maxAttempts most attempts for repeatable work, the first included
+ * @param maxTokens maximum output length, in tokens
+ * @param typicalTokens median output length assumed until outputs have been observed, in tokens
+ * @param maxAttempts maximum number of attempts for repeatable work, including the first
  */
 public record Kind(
         KindName name,
@@ -37,34 +37,34 @@
         int typicalTokens,
         int maxAttempts) {
 
-    /** Whether a caller waits for the answer at once. */
+    /** Whether a caller needs the response immediately. */
     public enum Urgency {
-        /** A caller waits for the answer at once. */
+        /** A caller needs the response immediately. */
         URGENT,
-        /** The answer may take a while. */
+        /** The response may take a while. */
         PATIENT
     }
 
-    /** How much a lost or late answer costs. */
+    /** Cost of a lost or late response. */
     public enum Value {
-        /** A loss costs much. */
+        /** A lost or late response is expensive. */
         HIGH,
-        /** A loss costs little. */
+        /** A lost or late response is cheap. */
         LOW
     }
 
-    /** How the answer reaches the caller. */
+    /** How the response is sent to the caller. */
     public enum Delivery {
         /** Token by token. */
         STREAM,
-        /** Held back until it is complete. */
+        /** Only once it is complete. */
         WHOLE
     }
 
     /**
-     * Checks that the parts agree.
+     * Checks that the components are consistent.
      *
-     * @throws IllegalArgumentException if an engine kind has no model or a number is not positive
+     * @throws IllegalArgumentException if a kind that runs on engines has no model, or a limit is not positive
      */
     public Kind {
         Objects.requireNonNull(name, "name");
--- a/core/src/main/java/org/verbenatally/config/Organisation.java
+++ b/core/src/main/java/org/verbenatally/config/Organisation.java
@@ -11,12 +11,12 @@
 /**
  * An organisation whose callers send work.
  *
- * @param id its id
- * @param credentialSha256 SHA-256 of its credential, 64 lower-case hexadecimal digits
- * @param share its weight when capacity is short
- * @param requestsPerSecond rate limit at one entry
- * @param maxStreams most open requests at one entry
- * @param defaultKind the kind that completion-style requests map to, if any
+ * @param id id of the organisation
+ * @param credentialSha256 SHA-256 digest of its credential, 64 lower-case hexadecimal digits
+ * @param share weight of the organisation when capacity is scarce
+ * @param requestsPerSecond rate limit at one entry, in requests per second
+ * @param maxStreams maximum number of open requests at one entry
+ * @param defaultKind kind that completion-style requests map to, if any
  */
 public record Organisation(
         OrganisationId id,
@@ -27,7 +27,7 @@
         Optional<KindName> defaultKind) {
 
     /**
-     * Checks the parts.
+     * Checks the components.
      *
      * @throws IllegalArgumentException if a number is not positive
      */
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Tells whether the SHA-256 of an offered credential matches, in constant time. */
+    /** Returns whether the given SHA-256 digest is that of the organisation's credential; compares in constant time. */
     public boolean matches(byte[] sha256) {
         return MessageDigest.isEqual(HexFormat.of().parseHex(credentialSha256), sha256);
     }
--- a/core/src/main/java/org/verbenatally/config/ReferenceChecker.java
+++ b/core/src/main/java/org/verbenatally/config/ReferenceChecker.java
@@ -14,7 +14,7 @@
 import org.verbenatally.settings.OrganisationDocument;
 import org.verbenatally.settings.TargetDocument;
 
-/** Checks what the schema cannot: unique ids and references from one part of the document to another. */
+/** Checks what the schema cannot express: unique ids, and references from one part of a document to another. */
 final class ReferenceChecker {
     private final byte[] json;
     private final List<ConfigException.Fault> faults = new ArrayList<>();
@@ -25,11 +25,11 @@
     }
 
     List<ConfigException.Fault> check(DeploymentDocument document) {
-        unique("/organisations", "id", document.getOrganisations(), OrganisationDocument::getId);
-        unique("/kinds", "name", document.getKinds(), KindDocument::getName);
-        unique("/targets", "id", document.getTargets(), TargetDocument::getId);
-        unique("/targets", "port", document.getTargets(), t -> t.getHost() + ":" + t.getPort());
-        unique(
+        checkUnique("/organisations", "id", document.getOrganisations(), OrganisationDocument::getId);
+        checkUnique("/kinds", "name", document.getKinds(), KindDocument::getName);
+        checkUnique("/targets", "id", document.getTargets(), TargetDocument::getId);
+        checkUnique("/targets", "port", document.getTargets(), t -> t.getHost() + ":" + t.getPort());
+        checkUnique(
                 "/organisations",
                 "credentialSha256",
                 document.getOrganisations(),
@@ -40,12 +40,14 @@
         return faults;
     }
 
-    private <T> void unique(String path, String field, List<T> items, Function<T, String> key) {
-        Map<String, Integer> first = new HashMap<>();
+    private <T> void checkUnique(String path, String field, List<T> items, Function<T, String> key) {
+        Map<String, Integer> firstIndex = new HashMap<>();
         for (int i = 0; i < items.size(); i++) {
-            Integer before = first.putIfAbsent(key.apply(items.get(i)), i);
-            if (before != null) {
-                add(path + "/" + i + "/" + field, "must be unique, " + path + "/" + before + " has the same one");
+            Integer previous = firstIndex.putIfAbsent(key.apply(items.get(i)), i);
+            if (previous != null) {
+                addFault(
+                        path + "/" + i + "/" + field,
+                        "must be unique, but " + path + "/" + previous + " has the same value");
             }
         }
     }
@@ -53,9 +55,9 @@
     private void checkKinds(DeploymentDocument document) {
         Set<String> models = new HashSet<>();
         Set<String> adapters = new HashSet<>();
-        boolean service = false;
+        boolean hasService = false;
         for (TargetDocument t : document.getTargets()) {
-            service |= t.getType() == TargetDocument.Type.SERVICE;
+            hasService |= t.getType() == TargetDocument.Type.SERVICE;
             if (t.getType() == TargetDocument.Type.ENGINE) {
                 for (LoadedModelDocument m : t.getModels()) {
                     models.add(m.getModel());
@@ -65,30 +67,31 @@
         }
         List<KindDocument> kinds = document.getKinds();
         for (int i = 0; i < kinds.size(); i++) {
-            checkKind("/kinds/" + i, kinds.get(i), models, adapters, service);
+            checkKind("/kinds/" + i, kinds.get(i), models, adapters, hasService);
         }
     }
 
-    private void checkKind(String path, KindDocument kind, Set<String> models, Set<String> adapters, boolean service) {
+    private void checkKind(
+            String path, KindDocument kind, Set<String> models, Set<String> adapters, boolean hasService) {
         if (kind.getRunsOn() == KindDocument.RunsOn.SERVICE) {
-            if (!service) {
-                add(path + "/runsOn", "needs at least one target of type service");
+            if (!hasService) {
+                addFault(path + "/runsOn", "requires at least one target of type service");
             }
             if (kind.getModel() != null || kind.getAdapter() != null) {
-                add(path + "/model", "only kinds that run on engines name a model or an adapter");
+                addFault(path + "/model", "only kinds that run on engines may name a model or an adapter");
             }
             if (kind.getDelivery() == KindDocument.Delivery.STREAM) {
-                add(path + "/delivery", "kinds that run on plain services are delivered whole");
+                addFault(path + "/delivery", "must be whole for kinds that run on plain services");
             }
         } else if (kind.getModel() == null) {
-            add(path + "/model", "kinds that run on engines must name a model");
+            addFault(path + "/model", "kinds that run on engines must name a model");
         } else if (!models.contains(kind.getModel())) {
-            add(path + "/model", "must be a model of at least one engine");
+            addFault(path + "/model", "must be a model of at least one engine");
         } else if (kind.getAdapter() != null && !adapters.contains(kind.getModel() + "/" + kind.getAdapter())) {
-            add(path + "/adapter", "must be an adapter on that model on at least one engine");
+            addFault(path + "/adapter", "must be an adapter on that model on at least one engine");
         }
         if (kind.getTypicalTokens() > kind.getMaxTokens()) {
-            add(path + "/typicalTokens", "must be at most maxTokens");
+            addFault(path + "/typicalTokens", "must be at most maxTokens");
         }
     }
 
@@ -101,7 +104,7 @@
         for (int i = 0; i < organisations.size(); i++) {
             String kind = organisations.get(i).getDefaultKind();
             if (kind != null && !engineKinds.contains(kind)) {
-                add("/organisations/" + i + "/defaultKind", "must be the name of a kind that runs on engines");
+                addFault("/organisations/" + i + "/defaultKind", "must be the name of a kind that runs on engines");
             }
         }
     }
@@ -110,15 +113,15 @@
         for (int i = 0; i < targets.size(); i++) {
             TargetDocument target = targets.get(i);
             String path = "/targets/" + i;
-            unique(path + "/models", "model", target.getModels(), LoadedModelDocument::getModel);
+            checkUnique(path + "/models", "model", target.getModels(), LoadedModelDocument::getModel);
             if (target.getType() == TargetDocument.Type.SERVICE
                     && !target.getModels().isEmpty()) {
-                add(path + "/models", "only engines have models");
+                addFault(path + "/models", "only engines may have models");
             }
         }
     }
 
-    private void add(String field, String expected) {
+    private void addFault(String field, String expected) {
         if (lines == null) {
             lines = JsonChecker.lines(json);
         }
--- a/core/src/main/java/org/verbenatally/config/SettingsReader.java
+++ b/core/src/main/java/org/verbenatally/config/SettingsReader.java
@@ -11,7 +11,7 @@
 import org.verbenatally.settings.EntrySettings;
 import org.verbenatally.settings.LogSettings;
 
-/** Reads the settings of an entry process: JSON with comments, checked against {@code entry-settings.schema.json}. */
+/** Reads the settings of an entry process: JSON with comments, validated against {@code entry-settings.schema.json}. */
 public final class SettingsReader {
     private static final int MAX_BYTES = 1 << 16;
     private static final JsonChecker<EntrySettings> CHECKER =
@@ -22,7 +22,7 @@
     /**
      * Reads a settings file of at most 64 KiB.
      *
-     * @throws ConfigException if the settings are not accepted; lists every fault
+     * @throws ConfigException if the settings are invalid; lists the faults
      * @throws IOException if the file cannot be read
      */
     public static EntrySettings read(Path file) throws ConfigException, IOException {
@@ -39,7 +39,7 @@
      *
      * @param source name of the document for error messages
      * @param json the document
-     * @throws ConfigException if the settings are not accepted; lists every fault
+     * @throws ConfigException if the settings are invalid; lists the faults
      */
     public static EntrySettings read(String source, byte[] json) throws ConfigException {
         Objects.requireNonNull(json, "json");
--- a/core/src/main/java/org/verbenatally/config/Target.java
+++ b/core/src/main/java/org/verbenatally/config/Target.java
@@ -9,17 +9,17 @@
 import org.verbenatally.core.TargetId;
 
 /**
- * A target as the configuration describes it.
+ * Configuration of a target.
  *
- * @param id its id
- * @param type engine or plain service
- * @param address where it listens
- * @param failureDomain where it runs
- * @param models the models that an engine is to have loaded
- * @param role the role that an engine is to have
- * @param checksFence whether it refuses orders with an old fencing number
- * @param maxConcurrent most requests in flight over all entries
- * @param leaving whether it is to receive no new work
+ * @param id id of the target
+ * @param type whether it is an engine or a plain service
+ * @param address address on which it listens
+ * @param failureDomain failure domain in which it runs
+ * @param models models that an engine is expected to have loaded
+ * @param role role that an engine is expected to have
+ * @param checksFence whether it rejects orders with an outdated fencing number
+ * @param maxConcurrent maximum number of requests in flight from all entries together
+ * @param leaving whether it must receive no new work
  */
 public record Target(
         TargetId id,
@@ -33,14 +33,14 @@
         boolean leaving) {
 
     /**
-     * A model that an engine is to have loaded.
+     * A model that an engine is expected to have loaded.
      *
-     * @param model its name
-     * @param version its version
-     * @param adapters adapters on it, in sorted order
+     * @param model name of the model
+     * @param version version of the model
+     * @param adapters adapters on the model, in sorted order
      */
     public record LoadedModel(ModelName model, String version, List<String> adapters) {
-        /** Copies the adapters in sorted order, so that equal content compares equal. */
+        /** Copies the adapters in sorted order, so that records with equal content are equal. */
         public LoadedModel {
             Objects.requireNonNull(model, "model");
             adapters = adapters.stream().sorted().toList();
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Checks the parts and copies the models.
+     * Checks the components and copies the models.
      *
-     * @throws IllegalArgumentException if the concurrency is not positive
+     * @throws IllegalArgumentException if {@code maxConcurrent} is not positive
      */
     public Target {
         Objects.requireNonNull(id, "id");
--- a/core/src/main/java/org/verbenatally/config/TargetType.java
+++ b/core/src/main/java/org/verbenatally/config/TargetType.java
@@ -1,6 +1,6 @@
 package org.verbenatally.config;
 
-/** The two types of target. */
+/** Type of a target. */
 public enum TargetType {
     /** A model engine. */
     ENGINE,
--- a/core/src/main/java/org/verbenatally/config/VersionedDeployment.java
+++ b/core/src/main/java/org/verbenatally/config/VersionedDeployment.java
@@ -2,12 +2,12 @@
 
 import org.verbenatally.core.ConfigVersion;
 
-/** What every kind of deployment document has in common: peers compare documents by these two. */
+/** The name and version that every kind of deployment has; peers compare documents by them. */
 public interface VersionedDeployment {
 
-    /** Returns the name of the deployment; instances with documents of other names do not talk to each other. */
+    /** Returns the name of the deployment; instances of deployments with different names do not communicate. */
     String name();
 
-    /** Returns the version, which orders the documents of one deployment. */
+    /** Returns the version, which orders the documents of a deployment. */
     ConfigVersion version();
 }
--- a/core/src/main/java/org/verbenatally/config/package-info.java
+++ b/core/src/main/java/org/verbenatally/config/package-info.java
@@ -1,2 +1,2 @@
-/** The checked configuration of a deployment: reading, holding and comparing versions. */
+/** The configuration of a deployment: reading and validating documents, and holding the one in force. */
 package org.verbenatally.config;
--- a/core/src/test/java/org/verbenatally/config/ConfigHolderTest.java
+++ b/core/src/test/java/org/verbenatally/config/ConfigHolderTest.java
@@ -17,7 +17,7 @@
 
     /** Guards against a stale copy from the platform replacing a newer configuration. */
     @Property(seed = "7")
-    void endsWithTheHighestDocumentInWhateverOrderTheyArrive(
+    void keepsTheHighestVersionInAnyOrderOfArrival(
             @ForAll @Size(min = 1, max = 20) List<@IntRange(min = 1, max = 9) Integer> versions,
             @ForAll @Size(20) List<Byte> digests) {
         ConfigHolder<Deployment> holder = new ConfigHolder<>();
@@ -32,17 +32,17 @@
         assertThat(holder.deployment().orElseThrow().version().value()).isEqualTo(highest);
     }
 
-    /** Guards against entries that settle on different documents when two operators publish one version. */
+    /** Guards against entries that settle on different documents when two operators publish the same version. */
     @Test
     void equalVersionsConvergeOnTheHigherDigest() {
-        ConfigHolder<Deployment> one = new ConfigHolder<>();
-        ConfigHolder<Deployment> other = new ConfigHolder<>();
-        assertThat(one.offer(document(3, (byte) 1))).isTrue();
-        assertThat(one.offer(document(3, (byte) -1))).isTrue();
-        assertThat(other.offer(document(3, (byte) -1))).isTrue();
-        assertThat(other.offer(document(3, (byte) 1))).isFalse();
-        assertThat(one.document().orElseThrow().digest())
-                .isEqualTo(other.document().orElseThrow().digest());
+        ConfigHolder<Deployment> first = new ConfigHolder<>();
+        ConfigHolder<Deployment> second = new ConfigHolder<>();
+        assertThat(first.offer(document(3, (byte) 1))).isTrue();
+        assertThat(first.offer(document(3, (byte) -1))).isTrue();
+        assertThat(second.offer(document(3, (byte) -1))).isTrue();
+        assertThat(second.offer(document(3, (byte) 1))).isFalse();
+        assertThat(first.document().orElseThrow().digest())
+                .isEqualTo(second.document().orElseThrow().digest());
     }
 
     private static ConfigDocumentInForce<Deployment> document(long version, byte digest) {
--- a/core/src/test/java/org/verbenatally/config/ConfigReaderTest.java
+++ b/core/src/test/java/org/verbenatally/config/ConfigReaderTest.java
@@ -20,31 +20,32 @@
 class ConfigReaderTest {
     private static final Path EXAMPLES = Path.of("..", "examples");
 
-    /** Guards against examples that the reader refuses or that have another size than the fleets they stand for. */
+    /** Guards against examples that the reader rejects, or whose size differs from that of the fleet they represent. */
     @ParameterizedTest
     @CsvSource({"abay, 8, 3, 3", "aarhus, 6, 3, 4"})
-    void readsExampleAtItsRealSize(String name, int engines, int services, int kinds) throws Exception {
-        Deployment d = ConfigReader.read(name, example(name));
-        assertThat(count(d, TargetType.ENGINE)).isEqualTo(engines);
-        assertThat(count(d, TargetType.SERVICE)).isEqualTo(services);
-        assertThat(d.kinds()).hasSize(kinds);
-        assertThat(d.organisations()).hasSize(10);
-        byte[] credential = "-credential".getBytes(StandardCharsets.UTF_8);
-        for (OrganisationId id : d.organisations().keySet()) {
-            byte[] own = (id.value() + new String(credential, StandardCharsets.UTF_8)).getBytes(StandardCharsets.UTF_8);
-            assertThat(d.organisations().get(id).matches(ConfigReader.digest(own)))
+    void readsExampleWithTheSizeOfItsFleet(String name, int engines, int services, int kinds) throws Exception {
+        Deployment deployment = ConfigReader.read(name, example(name));
+        assertThat(count(deployment, TargetType.ENGINE)).isEqualTo(engines);
+        assertThat(count(deployment, TargetType.SERVICE)).isEqualTo(services);
+        assertThat(deployment.kinds()).hasSize(kinds);
+        assertThat(deployment.organisations()).hasSize(10);
+        byte[] suffix = "-credential".getBytes(StandardCharsets.UTF_8);
+        for (OrganisationId id : deployment.organisations().keySet()) {
+            byte[] credential =
+                    (id.value() + new String(suffix, StandardCharsets.UTF_8)).getBytes(StandardCharsets.UTF_8);
+            assertThat(deployment.organisations().get(id).matches(ConfigReader.digest(credential)))
                     .isTrue();
         }
     }
 
-    /** Guards against a second run of a booking because the example calls it repeatable. */
+    /** Guards against a booking that runs twice because the example declares it repeatable. */
     @Test
     void bookingsAreNotRepeatable() throws Exception {
         Kind booking = ConfigReader.read("abay", example("abay")).kinds().get(new KindName("order-booking"));
         assertThat(booking.repeatable()).isFalse();
     }
 
-    /** Guards against a fault that is hidden by another one, and against messages without line and field. */
+    /** Guards against faults that are hidden by other faults, and against messages without line and field. */
     @Test
     void listsEveryFaultWithLineAndField() throws IOException {
         String text = new String(example("abay"), StandardCharsets.UTF_8)
@@ -76,32 +77,32 @@
                 new String[] {"\"weightStore\"", "weightStore", ""});
     }
 
-    /** Guards against documents in force that name a model, target or kind that does not exist. */
+    /** Guards against putting a document in force that refers to a model, target or kind that does not exist. */
     @ParameterizedTest
     @MethodSource("brokenReferences")
-    void refusesDocumentWithBrokenReference(String from, String to, String field) throws IOException {
+    void rejectsDocumentWithBrokenReference(String from, String to, String field) throws IOException {
         String text = new String(example("abay"), StandardCharsets.UTF_8);
         assertThat(text).contains(from);
         var e = catchThrowableOfType(ConfigException.class, () -> read(text.replace(from, to)));
         assertThat(e.faults()).extracting(ConfigException.Fault::field).contains(field);
     }
 
-    /** Guards against memory use that a hostile or broken platform decides. */
+    /** Guards against unbounded memory use caused by a malicious or broken platform. */
     @Test
-    void refusesDocumentAboveOneMebibyte() {
+    void rejectsDocumentAboveOneMebibyte() {
         var e = catchThrowableOfType(ConfigException.class, () -> ConfigReader.read("big", new byte[(1 << 20) + 1]));
         assertThat(e).hasMessageContaining("at most 1048576 bytes");
     }
 
-    /** Guards against an example that does not start, and against seeds that are noticed only when they are used. */
+    /** Guards against an example that does not start, and against invalid seeds that are detected only on first use. */
     @Test
-    void readsSettingsAndRefusesBadSeed() throws Exception {
+    void readsSettingsAndRejectsInvalidSeed() throws Exception {
         Path file = EXAMPLES.resolve("entry.settings.json");
         EntrySettings settings = SettingsReader.read(file);
         assertThat(settings.getDrainSeconds()).isEqualTo(2700);
-        byte[] bad =
+        byte[] invalid =
                 Files.readString(file).replace("127.0.0.1:8102", "127.0.0.1").getBytes(StandardCharsets.UTF_8);
-        var e = catchThrowableOfType(ConfigException.class, () -> SettingsReader.read("entry", bad));
+        var e = catchThrowableOfType(ConfigException.class, () -> SettingsReader.read("entry", invalid));
         assertThat(e.faults()).singleElement().satisfies(f -> {
             assertThat(f.field()).isEqualTo("/peers/seeds/1");
             assertThat(f.line()).isPositive();
@@ -112,8 +113,10 @@
         return ConfigReader.read("test", text.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static long count(Deployment d, TargetType type) {
-        return d.targets().values().stream().filter(t -> t.type() == type).count();
+    private static long count(Deployment deployment, TargetType type) {
+        return deployment.targets().values().stream()
+                .filter(t -> t.type() == type)
+                .count();
     }
 
     private static byte[] example(String name) throws IOException {
