--- a/core/src/main/java/org/verbenatally/config/Deployment.java
+++ b/core/src/main/java/org/verbenatally/config/Deployment.java
@@ -19,7 +19,7 @@
  * @param organisations organisations by id
  * @param kinds kinds of work by name
  * @param targets targets by id
- * @param loadsPerMinute maximum number of model loads per minute, over all issuers of orders together
+ * @param loadsPerMinute maximum number of model loads per minute across all issuers of orders
  */
 public record Deployment(
         String name,
--- a/core/src/main/java/org/verbenatally/config/JsonChecker.java
+++ b/core/src/main/java/org/verbenatally/config/JsonChecker.java
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Returns the line number of each value by JSON pointer. This parses the document a second time, which only
-     * happens to documents with faults.
+     * Returns the line number of each value by JSON pointer. Parses the document a second time, which is only needed
+     * for documents with faults.
      */
     static Map<String, Integer> lines(byte[] json) {
         Map<String, Integer> lines = new HashMap<>();
--- a/core/src/main/java/org/verbenatally/config/Target.java
+++ b/core/src/main/java/org/verbenatally/config/Target.java
@@ -18,7 +18,7 @@
  * @param models models that an engine is expected to have loaded
  * @param role role that an engine is expected to have
  * @param checksFence whether it rejects orders with an outdated fencing number
- * @param maxConcurrent maximum number of requests in flight from all entries together
+ * @param maxConcurrent maximum number of requests in flight across all entries
  * @param leaving whether it must receive no new work
  */
 public record Target(
--- a/core/src/main/java/org/verbenatally/core/FailureDomain.java
+++ b/core/src/main/java/org/verbenatally/core/FailureDomain.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public FailureDomain {
-        Names.check("failure domain", value);
+        IdSyntax.check("failure domain", value);
     }
 
     @Override
--- a/core/src/main/java/org/verbenatally/core/InstanceId.java
+++ b/core/src/main/java/org/verbenatally/core/InstanceId.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public InstanceId {
-        Names.check("instance id", value);
+        IdSyntax.check("instance id", value);
     }
 
     // Written by hand: the equals and hashCode methods generated for a record access its components through method
--- a/core/src/main/java/org/verbenatally/core/KindName.java
+++ b/core/src/main/java/org/verbenatally/core/KindName.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public KindName {
-        Names.check("kind name", value);
+        IdSyntax.check("kind name", value);
     }
 
     @Override
--- a/core/src/main/java/org/verbenatally/core/Logging.java
+++ b/core/src/main/java/org/verbenatally/core/Logging.java
@@ -28,7 +28,7 @@
     private Logging() {}
 
     /**
-     * Replaces the handlers of the root logger by one that writes to standard error, at the level and in the format
+     * Replaces the handlers of the root logger with one that writes to standard error, at the level and in the format
      * of the settings.
      */
     public static void configure(LogSettings settings) {
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Replaces the handlers of the root logger by one that writes JSON to standard output, one object per line. Never
+     * Replaces the handlers of the root logger with one that writes JSON to standard output, one object per line. Never
      * blocks: lines above {@code linesPerSecond} are dropped and counted, and lines that do not fit into the queue are
      * dropped.
      *
--- a/core/src/main/java/org/verbenatally/core/ModelName.java
+++ b/core/src/main/java/org/verbenatally/core/ModelName.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public ModelName {
-        Names.check("model name", value);
+        IdSyntax.check("model name", value);
     }
 
     @Override
--- a/core/src/main/java/org/verbenatally/core/OrganisationId.java
+++ b/core/src/main/java/org/verbenatally/core/OrganisationId.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public OrganisationId {
-        Names.check("organisation id", value);
+        IdSyntax.check("organisation id", value);
     }
 
     @Override
--- a/core/src/main/java/org/verbenatally/core/Program.java
+++ b/core/src/main/java/org/verbenatally/core/Program.java
@@ -20,7 +20,7 @@
 public record Program(String name, String arguments, String summary, Options options, Class<?> main) {
     /** Exit status of a program that succeeded. */
     public static final int OK = 0;
-    /** Exit status of a program that failed to run, or that found a fault it looks for. */
+    /** Exit status of a program that failed to run, or that found a fault it checks for. */
     public static final int FAILED = 1;
     /** Exit status after invalid arguments or settings. */
     public static final int USAGE = 2;
--- a/core/src/main/java/org/verbenatally/core/RouteName.java
+++ b/core/src/main/java/org/verbenatally/core/RouteName.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public RouteName {
-        Names.check("route name", value);
+        IdSyntax.check("route name", value);
     }
 
     @Override
--- a/core/src/main/java/org/verbenatally/core/ServiceName.java
+++ b/core/src/main/java/org/verbenatally/core/ServiceName.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public ServiceName {
-        Names.check("service name", value);
+        IdSyntax.check("service name", value);
     }
 
     @Override
--- a/core/src/main/java/org/verbenatally/core/StepException.java
+++ b/core/src/main/java/org/verbenatally/core/StepException.java
@@ -42,14 +42,14 @@
     }
 
     /**
-     * Creates an exception that states after which time a retry makes sense.
+     * Creates an exception that states the delay after which a retry makes sense.
      *
      * @param step step at which it occurred
      * @param peer name of the instance, target or caller on the other side
      * @param outcome what is known about the request
      * @param message one short sentence
      * @param cause the underlying failure, or {@code null}
-     * @param retryAfter time after which a retry makes sense, or {@code null}
+     * @param retryAfter delay after which a retry makes sense, or {@code null}
      */
     public StepException(
             Step step, String peer, Outcome outcome, String message, Throwable cause, Duration retryAfter) {
@@ -75,7 +75,7 @@
         return outcome;
     }
 
-    /** Returns the time after which a retry makes sense, if one does. */
+    /** Returns the delay after which a retry makes sense, if it does at all. */
     public Optional<Duration> retryAfter() {
         return Optional.ofNullable(retryAfter);
     }
--- a/core/src/main/java/org/verbenatally/core/TargetId.java
+++ b/core/src/main/java/org/verbenatally/core/TargetId.java
@@ -13,7 +13,7 @@
      * @throws IllegalArgumentException if the value is empty, is too long or contains any other character
      */
     public TargetId {
-        Names.check("target id", value);
+        IdSyntax.check("target id", value);
     }
 
     // Written by hand: the equals and hashCode methods generated for a record access its components through method
--- a/core/src/main/java/org/verbenatally/time/TimerService.java
+++ b/core/src/main/java/org/verbenatally/time/TimerService.java
@@ -20,7 +20,7 @@
      * One invocation of a periodic callback.
      *
      * @param nanos monotonic time of the invocation, in nanoseconds
-     * @param lateness delay of the invocation behind its scheduled time
+     * @param lateness how long after its scheduled time the callback is invoked
      */
     record Tick(long nanos, Duration lateness) {}
 
--- a/core/src/test/java/org/verbenatally/time/SystemTimerServiceTest.java
+++ b/core/src/test/java/org/verbenatally/time/SystemTimerServiceTest.java
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Guards against missing the suspension of a machine, during which only the wall clock advances and the monotonic
+     * Guards against overlooking the suspension of a machine, during which the wall clock advances but the monotonic
      * clock does not.
      */
     @Test
