--- a/tools/src/main/java/org/verbenatally/load/Call.java
+++ b/tools/src/main/java/org/verbenatally/load/Call.java
@@ -15,16 +15,23 @@
 import org.verbenatally.load.Exchange.Part;
 import org.verbenatally.standin.TokenText;
 
-/** One piece of work of a caller: copies, resumes and the judgement of the answer. Runs on one virtual thread. */
+/**
+ * Executes one unit of work for a caller: sends copies of the request, resumes its stream and checks the response. A
+ * copy is one submission of the request under a request id of its own; a resume reads the rest of its stream from
+ * another entry. Each call runs on one virtual thread.
+ */
 final class Call {
-    /** Pause before another copy or resume, so that a dead fleet is not called in a tight loop. */
-    private static final long PAUSE_MS = 100;
+    /** Delay before the next copy or resume; avoids a tight loop while no entry is reachable. */
+    private static final long RETRY_DELAY_MS = 100;
 
     private static final int CREATED = 201;
     private static final int KEY_REQUIRED = 428;
 
-    /** The answer to a copy; no outcome: the connection was lost and the caller was told nothing. */
-    private record Reply(Outcome outcome, int status, long retryAfterMs) {}
+    /**
+     * The result of one copy. The outcome is {@code null} if the connection was lost or timed out before an entry
+     * reported one.
+     */
+    private record CopyResult(Outcome outcome, int status, long retryAfterMs) {}
 
     private final CallerClient client;
     private final CallRequest request;
@@ -34,7 +41,7 @@
     private String stream;
     private String lastEventId;
     private String key;
-    private long namedTokens = -1;
+    private long reportedTokens = -1;
 
     Call(CallerClient client, CallRequest request, int entryIndex) {
         this.client = client;
@@ -62,46 +69,46 @@
         int notRunRetries = client.options().notRunRetries();
         Outcome outcome = Outcome.NOT_RUN;
         for (int copy = 0; copy < client.options().maxCopies() + notRunRetries; copy++) {
-            if (!request.repeatable() && key == null && !getKey()) {
+            if (!request.repeatable() && key == null && !requestKey()) {
                 return outcome;
             }
-            Reply reply = sendCopy(copy);
-            outcome = reply.outcome() == null ? Outcome.UNKNOWN : reply.outcome();
-            boolean again =
+            CopyResult result = sendCopy(copy);
+            outcome = result.outcome() == null ? Outcome.UNKNOWN : result.outcome();
+            boolean retry =
                     switch (outcome) {
                         case DONE -> false;
-                        case NOT_RUN -> reply.status() == KEY_REQUIRED || notRunRetries-- > 0;
-                        case UNKNOWN -> key != null || reply.outcome() == null && record.tokens() == 0;
+                        case NOT_RUN -> result.status() == KEY_REQUIRED || notRunRetries-- > 0;
+                        case UNKNOWN -> key != null || result.outcome() == null && record.tokens() == 0;
                     };
-            if (!again || remainingMs() <= 0) {
+            if (!retry || remainingMs() <= 0) {
                 return outcome;
             }
             if (outcome == Outcome.NOT_RUN) {
-                key = reply.status() == KEY_REQUIRED ? key : null;
+                key = result.status() == KEY_REQUIRED ? key : null;
             }
-            pause(Math.max(PAUSE_MS, reply.retryAfterMs()));
+            pause(Math.max(RETRY_DELAY_MS, result.retryAfterMs()));
         }
         return outcome;
     }
 
-    private boolean getKey() throws InterruptedException {
+    private boolean requestKey() throws InterruptedException {
         for (int attempt = 0; attempt < client.options().maxCopies() && remainingMs() > 0; attempt++) {
             Address entry = client.entry(entryIndex++);
-            Exchange exchange =
-                    client.exchange(entry, HttpMethod.POST, "/v1/keys/" + request.kind(), headers(), Buffer.buffer());
+            Exchange exchange = client.startExchange(
+                    entry, HttpMethod.POST, "/v1/keys/" + request.kind(), headers(), Buffer.buffer());
             Buffer body = Buffer.buffer();
-            int status = readAll(exchange, body, client.options().silenceMs());
+            int status = readToEnd(exchange, body, client.options().silenceTimeoutMs());
             if (status == CREATED) {
                 key = json(body).getString("key");
-                record.key(key);
+                record.setKey(key);
                 return true;
             }
-            pause(PAUSE_MS);
+            pause(RETRY_DELAY_MS);
         }
         return false;
     }
 
-    private Reply sendCopy(int copy) throws InterruptedException {
+    private CopyResult sendCopy(int copy) throws InterruptedException {
         Address entry = client.entry(entryIndex++);
         String id = request.work() + "-" + copy;
         stream = null;
@@ -113,8 +120,8 @@
         if (key != null) {
             headers.put("Idempotency-Key", key);
         }
-        noteSend(id, entry, false);
-        client.note(new HistoryRecord.Sent(
+        recordSend(id, entry, false);
+        client.recordHistory(new HistoryRecord.Sent(
                 System.currentTimeMillis(),
                 id,
                 request.work(),
@@ -123,156 +130,162 @@
                 request.stream(),
                 key,
                 entry.toString()));
-        Exchange exchange = client.exchange(
+        Exchange exchange = client.startExchange(
                 entry,
                 HttpMethod.POST,
                 "/v1/work/" + request.kind(),
                 headers,
                 request.body().toBuffer());
-        Reply reply = readAnswer(exchange, id);
-        client.note(new HistoryRecord.Answer(
+        CopyResult result = readResponse(exchange, id);
+        client.recordHistory(new HistoryRecord.Answer(
                 System.currentTimeMillis(),
                 id,
-                reply.outcome(),
-                reply.status(),
+                result.outcome(),
+                result.status(),
                 record.type(),
                 record.generation(),
-                namedTokens,
+                reportedTokens,
                 record.text()));
-        return reply;
+        return result;
     }
 
-    private Reply readAnswer(Exchange exchange, String id) throws InterruptedException {
-        // A whole answer takes as long as it takes; the head of a stream is sent when the work is admitted.
-        Part first =
-                exchange.next(request.stream() ? Math.min(client.options().headMs(), remainingMs()) : remainingMs());
+    private CopyResult readResponse(Exchange exchange, String id) throws InterruptedException {
+        // The head of a stream is sent as soon as the work is admitted; that of a complete response only once the work
+        // is done.
+        Part first = exchange.next(
+                request.stream() ? Math.min(client.options().headTimeoutMs(), remainingMs()) : remainingMs());
         if (!(first instanceof Part.Head head)) {
             exchange.reset();
-            record.answered(0);
-            return new Reply(null, 0, 0);
+            record.setStatus(0);
+            return new CopyResult(null, 0, 0);
         }
-        record.answered(head.status());
+        record.setStatus(head.status());
         String contentType = String.valueOf(head.headers().get("Content-Type"));
         if (contentType.startsWith("text/event-stream")) {
             return readStream(exchange, id);
         }
         Buffer body = Buffer.buffer();
-        return readBody(exchange, body, remainingMs()) ? judge(head, body) : new Reply(null, head.status(), 0);
+        return readBody(exchange, body, remainingMs())
+                ? checkResponse(head, body)
+                : new CopyResult(null, head.status(), 0);
     }
 
-    private Reply judge(Part.Head head, Buffer body) {
-        String text = head.headers().get("Outcome");
+    private CopyResult checkResponse(Part.Head head, Buffer body) {
+        String outcomeText = head.headers().get("Outcome");
         if (head.status() >= 400) {
-            return problem(json(body), head.status(), text);
+            return readProblem(json(body), head.status(), outcomeText);
         }
         String generation = head.headers().get("Generation");
-        record.generation(generation);
+        record.setGeneration(generation);
         if (generation != null) {
-            JsonObject answer = json(body);
-            String whole = answer.getString("text", body.toString());
-            int count = answer.getInteger(
-                    "tokens", (int) whole.chars().filter(c -> c == ' ').count());
-            record.whole(whole, count);
-            if (!TokenText.isWhole(whole, new GenerationId(generation), count)) {
-                record.violation("whole answer is not one whole generation");
+            JsonObject response = json(body);
+            String generated = response.getString("text", body.toString());
+            int count = response.getInteger(
+                    "tokens", (int) generated.chars().filter(c -> c == ' ').count());
+            record.setCompleteBody(generated, count);
+            if (!TokenText.isWhole(generated, new GenerationId(generation), count)) {
+                record.addViolation("complete response is not exactly one complete generation");
             }
         } else {
-            record.whole(body.toString(), 0);
+            record.setCompleteBody(body.toString(), 0);
             if (!request.work().equals(json(body).getString("work"))) {
-                record.violation("answer belongs to other work");
+                record.addViolation("response belongs to other work");
             }
         }
-        return new Reply(text == null ? Outcome.DONE : Outcome.parse(text), head.status(), 0);
+        return new CopyResult(outcomeText == null ? Outcome.DONE : Outcome.parse(outcomeText), head.status(), 0);
     }
 
-    private Reply problem(JsonObject problem, int status, String header) {
-        record.problem(problem.getString("type"));
-        String text = header != null ? header : problem.getString("outcome", "unknown");
+    private CopyResult readProblem(JsonObject problem, int status, String outcomeHeader) {
+        record.setProblemType(problem.getString("type"));
+        String outcomeText = outcomeHeader != null ? outcomeHeader : problem.getString("outcome", "unknown");
         if (status == KEY_REQUIRED) {
             key = problem.getString("key");
-            record.key(key);
+            record.setKey(key);
         }
-        return new Reply(Outcome.parse(text), status, problem.getLong("retryAfterMs", 0L));
+        return new CopyResult(Outcome.parse(outcomeText), status, problem.getLong("retryAfterMs", 0L));
     }
 
-    private Reply readStream(Exchange first, String id) throws InterruptedException {
+    private CopyResult readStream(Exchange first, String id) throws InterruptedException {
         Exchange exchange = first;
         for (int resumes = 0; ; ) {
-            Reply end = exchange == null ? null : readEvents(exchange, id);
-            if (end != null) {
-                return end;
+            CopyResult result = exchange == null ? null : readEvents(exchange, id);
+            if (result != null) {
+                return result;
             }
             if (stream == null
                     || remainingMs() <= 0
                     || resumes++ >= client.options().maxResumes()) {
-                return new Reply(null, record.status(), 0);
+                return new CopyResult(null, record.status(), 0);
             }
             Address entry = client.entry(entryIndex++);
             Map<String, String> headers = headers();
             if (lastEventId != null) {
                 headers.put("Last-Event-ID", lastEventId);
             }
-            noteSend(id, entry, true);
-            exchange = client.exchange(entry, HttpMethod.GET, "/v1/streams/" + stream, headers, Buffer.buffer());
-            Part answer = exchange.next(client.options().silenceMs());
-            if (!(answer instanceof Part.Head head)) {
+            recordSend(id, entry, true);
+            exchange = client.startExchange(entry, HttpMethod.GET, "/v1/streams/" + stream, headers, Buffer.buffer());
+            Part part = exchange.next(client.options().silenceTimeoutMs());
+            if (!(part instanceof Part.Head head)) {
                 exchange.reset();
                 exchange = null;
-                pause(PAUSE_MS);
+                pause(RETRY_DELAY_MS);
                 continue;
             }
-            record.answered(head.status());
+            record.setStatus(head.status());
             if (head.status() == 410 || head.status() == 404) {
                 Buffer body = Buffer.buffer();
-                readBody(exchange, body, client.options().silenceMs());
-                return problem(json(body), head.status(), head.headers().get("Outcome"));
+                readBody(exchange, body, client.options().silenceTimeoutMs());
+                return readProblem(json(body), head.status(), head.headers().get("Outcome"));
             }
             if (head.status() != 200) {
                 exchange.reset();
                 exchange = null;
-                pause(PAUSE_MS);
+                pause(RETRY_DELAY_MS);
             }
         }
     }
 
-    /** Reads events until the stream ends. Returns {@code null} if it was cut or silent. */
-    private Reply readEvents(Exchange exchange, String id) throws InterruptedException {
+    /**
+     * Reads events until one of them ends the stream. Returns {@code null} if the connection closes or no data arrives
+     * in time before that.
+     */
+    private CopyResult readEvents(Exchange exchange, String id) throws InterruptedException {
         EventReader reader = new EventReader();
         while (true) {
-            Part part = exchange.next(Math.min(client.options().silenceMs(), Math.max(1, remainingMs())));
-            if (!(part instanceof Part.Bytes bytes)) {
+            Part part = exchange.next(Math.min(client.options().silenceTimeoutMs(), Math.max(1, remainingMs())));
+            if (!(part instanceof Part.Chunk chunk)) {
                 exchange.reset();
                 return null;
             }
-            for (EventReader.Event event : reader.add(bytes.bytes())) {
-                Reply end = onEvent(event, bytes.nanos(), id);
-                if (end != null) {
-                    return end;
+            for (EventReader.Event event : reader.add(chunk.bytes())) {
+                CopyResult result = onEvent(event, chunk.nanos(), id);
+                if (result != null) {
+                    return result;
                 }
             }
         }
     }
 
-    private Reply onEvent(EventReader.Event event, long nanos, String id) {
+    private CopyResult onEvent(EventReader.Event event, long nanos, String id) {
         JsonObject data = json(Buffer.buffer(event.data()));
         switch (event.name()) {
             case "start" -> {
                 stream = data.getString("stream");
                 String generation = data.getString("generation");
                 if (record.generation() != null && !record.generation().equals(generation) && record.tokens() > 0) {
-                    record.violation("generation changed after " + record.tokens() + " tokens");
+                    record.addViolation("generation changed after " + record.tokens() + " tokens");
                 }
-                record.generation(generation);
+                record.setGeneration(generation);
             }
             case "end" -> {
                 if (data.getInteger("tokens", -1) != record.tokens()) {
-                    record.violation(
-                            "end names " + data.getInteger("tokens") + " tokens, " + record.tokens() + " seen");
+                    record.addViolation("end event reports " + data.getInteger("tokens") + " tokens, " + record.tokens()
+                            + " received");
                 }
-                return new Reply(Outcome.parse(data.getString("outcome", "done")), 200, 0);
+                return new CopyResult(Outcome.parse(data.getString("outcome", "done")), 200, 0);
             }
             case "error" -> {
-                return problem(data, data.getInteger("status", 200), null);
+                return readProblem(data, data.getInteger("status", 200), null);
             }
             default -> onToken(event, data.getString("t"), nanos, id);
         }
@@ -281,22 +294,23 @@
 
     private void onToken(EventReader.Event event, String text, long nanos, String id) {
         if (text == null || event.id() == null) {
-            record.violation("event without token or id: " + event.name());
+            record.addViolation("event without token or id: " + event.name());
             return;
         }
         lastEventId = event.id();
         long offset = Long.parseLong(event.id().substring(event.id().lastIndexOf(':') + 1));
         if (offset != record.tokens()) {
-            record.violation("token " + offset + " arrived, " + record.tokens() + " expected");
+            record.addViolation("token " + offset + " received, " + record.tokens() + " expected");
         }
         if (record.generation() == null || !TokenText.matches(text, new GenerationId(record.generation()), offset)) {
-            record.violation("token " + offset + " is not from generation " + record.generation());
+            record.addViolation("token " + offset + " is not from generation " + record.generation());
         }
-        record.token(nanos);
-        client.note(new HistoryRecord.TokenSeen(System.currentTimeMillis(), id, record.generation(), offset, text));
+        record.addToken(nanos);
+        client.recordHistory(
+                new HistoryRecord.TokenSeen(System.currentTimeMillis(), id, record.generation(), offset, text));
     }
 
-    private int readAll(Exchange exchange, Buffer body, long timeoutMs) throws InterruptedException {
+    private int readToEnd(Exchange exchange, Buffer body, long timeoutMs) throws InterruptedException {
         if (exchange.next(timeoutMs) instanceof Part.Head head && readBody(exchange, body, timeoutMs)) {
             return head.status();
         }
@@ -307,7 +321,7 @@
     private boolean readBody(Exchange exchange, Buffer body, long timeoutMs) throws InterruptedException {
         while (true) {
             switch (exchange.next(timeoutMs)) {
-                case Part.Bytes bytes -> body.appendBuffer(bytes.bytes());
+                case Part.Chunk chunk -> body.appendBuffer(chunk.bytes());
                 case Part.End end -> {
                     return true;
                 }
@@ -326,8 +340,8 @@
         return headers;
     }
 
-    private void noteSend(String id, Address entry, boolean resume) {
-        record.sent(
+    private void recordSend(String id, Address entry, boolean resume) {
+        record.addSend(
                 new CallRecord.Send(id, entry.toString(), resume, System.currentTimeMillis(), System.nanoTime(), 0));
     }
 
--- a/tools/src/main/java/org/verbenatally/load/CallRecord.java
+++ b/tools/src/main/java/org/verbenatally/load/CallRecord.java
@@ -6,19 +6,19 @@
 
 import org.verbenatally.core.Outcome;
 
-/** What a caller saw of one piece of work. Complete when the future of {@link CallerClient#send} is. */
+/** What a caller observed of one unit of work. Complete once the future that {@link CallerClient#send} returned is. */
 public final class CallRecord {
     /**
      * One exchange with an entry.
      *
-     * @param request request id of the copy
+     * @param requestId request id of the copy
      * @param entry address of the entry
      * @param resume whether it resumed a stream
-     * @param atMs when, in epoch milliseconds
-     * @param atNanos when, on the monotonic clock
-     * @param status HTTP status; 0: none arrived
+     * @param atMs time of the send, in epoch milliseconds
+     * @param atNanos time of the send, in nanoseconds of the monotonic clock
+     * @param status HTTP status; 0 if no response arrived
      */
-    public record Send(String request, String entry, boolean resume, long atMs, long atNanos, int status) {}
+    public record Send(String requestId, String entry, boolean resume, long atMs, long atNanos, int status) {}
 
     private final CallRequest request;
     private final List<Send> sends = new ArrayList<>();
@@ -38,37 +38,40 @@
         this.request = request;
     }
 
-    /** Returns what was asked. */
+    /** Returns the request. */
     public CallRequest request() {
         return request;
     }
 
-    /** Returns the exchanges in order. */
+    /** Returns the exchanges with entries, in the order in which they were started. */
     public List<Send> sends() {
         return List.copyOf(sends);
     }
 
-    /** Returns how the answer broke the contract: order, completeness or source of tokens. Empty if it did not. */
+    /**
+     * Returns the contract violations found in the response: tokens that are out of order, missing or from another
+     * generation, or a response to other work. Empty if there were none.
+     */
     public List<String> violations() {
         return List.copyOf(violations);
     }
 
-    /** Returns the arrival times of the tokens on the monotonic clock. */
+    /** Returns the arrival times of the tokens, in nanoseconds of the monotonic clock. */
     public long[] tokenNanos() {
         return Arrays.copyOf(tokenNanos, tokens);
     }
 
-    /** Returns the number of tokens that arrived; for whole answers of an engine, those that it contained. */
+    /** Returns the number of tokens received; for a complete response of an engine, the number that it contains. */
     public int tokens() {
         return tokens;
     }
 
-    /** Returns what the caller knows in the end. */
+    /** Returns the outcome as far as the caller knows it. */
     public Outcome outcome() {
         return outcome;
     }
 
-    /** Returns the last HTTP status; 0: none arrived. */
+    /** Returns the HTTP status of the last exchange; 0 if no response arrived. */
     public int status() {
         return status;
     }
@@ -78,7 +81,7 @@
         return type;
     }
 
-    /** Returns the generation that the answer named, or {@code null}. */
+    /** Returns the id of the generation that the response named, or {@code null}. */
     public String generation() {
         return generation;
     }
@@ -88,17 +91,17 @@
         return key;
     }
 
-    /** Returns the body of a whole answer, or {@code null}. */
+    /** Returns the text of a complete (not streamed) response, or {@code null}. */
     public String text() {
         return text;
     }
 
-    /** Returns when the caller began, on the monotonic clock. */
+    /** Returns the time at which the caller started, in nanoseconds of the monotonic clock. */
     public long startNanos() {
         return startNanos;
     }
 
-    /** Returns when the outcome was known, on the monotonic clock. */
+    /** Returns the time at which the outcome was known, in nanoseconds of the monotonic clock. */
     public long endNanos() {
         return endNanos;
     }
@@ -107,42 +110,42 @@
         startNanos = nanos;
     }
 
-    void sent(Send send) {
+    void addSend(Send send) {
         sends.add(send);
     }
 
-    void answered(int code) {
+    void setStatus(int code) {
         status = code;
         if (code > 0) {
             Send last = sends.removeLast();
-            sends.add(new Send(last.request(), last.entry(), last.resume(), last.atMs(), last.atNanos(), code));
+            sends.add(new Send(last.requestId(), last.entry(), last.resume(), last.atMs(), last.atNanos(), code));
         }
     }
 
-    void token(long nanos) {
+    void addToken(long nanos) {
         if (tokens == tokenNanos.length) {
             tokenNanos = Arrays.copyOf(tokenNanos, 2 * tokens);
         }
         tokenNanos[tokens++] = nanos;
     }
 
-    void violation(String what) {
-        violations.add(what);
+    void addViolation(String description) {
+        violations.add(description);
     }
 
-    void problem(String problemType) {
+    void setProblemType(String problemType) {
         type = problemType;
     }
 
-    void generation(String id) {
+    void setGeneration(String id) {
         generation = id;
     }
 
-    void key(String issued) {
+    void setKey(String issued) {
         key = issued;
     }
 
-    void whole(String body, int count) {
+    void setCompleteBody(String body, int count) {
         text = body;
         tokens = count;
         tokenNanos = new long[Math.max(16, count)];
--- a/tools/src/main/java/org/verbenatally/load/CallRequest.java
+++ b/tools/src/main/java/org/verbenatally/load/CallRequest.java
@@ -5,15 +5,15 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * A piece of work that a caller wants done.
+ * A unit of work that a caller sends.
  *
- * @param work id of the work; request ids of its copies start with it
+ * @param work id of the work; the request ids of its copies start with it
  * @param kind kind of work
  * @param organisation organisation of the caller
- * @param credential its credential
- * @param body body of the request
- * @param stream whether the answer comes token by token
- * @param repeatable whether a second run does no harm; other work is sent with an idempotency key
+ * @param credential credential of the organisation
+ * @param body request body
+ * @param stream whether the response is streamed token by token
+ * @param repeatable whether the work may safely run more than once; other work is sent with an idempotency key
  * @param deadlineMs deadline, in milliseconds after the send
  */
 public record CallRequest(
@@ -26,7 +26,7 @@
         boolean repeatable,
         long deadlineMs) {
 
-    /** Checks that the parts are present. */
+    /** Checks that all components are present and that the deadline is positive. */
     public CallRequest {
         Objects.requireNonNull(work, "work");
         Objects.requireNonNull(kind, "kind");
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Returns a request for an engine kind.
+     * Returns a request for a kind that runs on engines.
      *
-     * @param length output length that the engine stand-in is to produce, in tokens
+     * @param length length of the output that the engine stand-in produces, in tokens
      * @param prefix start of the prompt
      */
     public static CallRequest generation(
@@ -60,7 +60,7 @@
         return new CallRequest(work, kind, organisation, credential, body, stream, true, deadlineMs);
     }
 
-    /** Returns a request for a kind of a plain service; {@code work} is in the body. */
+    /** Returns a request for a kind that runs on a service; the body contains {@code work}. */
     public static CallRequest call(
             String work, String kind, String organisation, String credential, boolean repeatable, long deadlineMs) {
         JsonObject body = new JsonObject().put("work", work);
--- a/tools/src/main/java/org/verbenatally/load/CallerClient.java
+++ b/tools/src/main/java/org/verbenatally/load/CallerClient.java
@@ -20,8 +20,9 @@
 import org.verbenatally.history.HistoryRecord;
 
 /**
- * Callers of the system. Sends work to the entries in turn, resumes streams at another entry after a cut or silence,
- * gets idempotency keys, resends with the same key, and records what it saw. Each call runs on a virtual thread.
+ * Client that acts as the callers of the system. It sends work to the entries in turn, resumes a stream at another
+ * entry when the connection is lost or no data arrives, requests idempotency keys, retries with the same key, and
+ * records what it observes. Each call runs on a virtual thread of its own.
  */
 public final class CallerClient implements AutoCloseable {
     private static final int MAX_CONNECTIONS = 20_000;
@@ -30,8 +31,8 @@
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient client;
     private final Consumer<HistoryRecord> history;
-    private final AtomicInteger turn = new AtomicInteger();
-    private final Map<Thread, CallRequest> open = new ConcurrentHashMap<>();
+    private final AtomicInteger nextEntry = new AtomicInteger();
+    private final Map<Thread, CallRequest> openCalls = new ConcurrentHashMap<>();
 
     /** Creates a client that records no history. */
     public CallerClient(CallerOptions options) {
@@ -41,7 +42,7 @@
     /**
      * Creates a client.
      *
-     * @param history receives each copy sent, each token and each answer, from several threads
+     * @param history receives a record of each copy sent, each token and each response; called from several threads
      */
     public CallerClient(CallerOptions options, Consumer<HistoryRecord> history) {
         this.options = options;
@@ -57,34 +58,34 @@
     /**
      * Sends work.
      *
-     * @return the record; it never fails, also not when no entry answers
+     * @return the record; the future completes normally even if no entry responds
      */
     public CompletableFuture<CallRecord> send(CallRequest request) {
         CompletableFuture<CallRecord> result = new CompletableFuture<>();
-        Call call = new Call(this, request, turn.getAndIncrement());
+        Call call = new Call(this, request, nextEntry.getAndIncrement());
         Thread.ofVirtual().name("call").start(() -> {
-            open.put(Thread.currentThread(), request);
+            openCalls.put(Thread.currentThread(), request);
             try {
                 result.complete(call.run());
             } catch (RuntimeException e) {
                 result.completeExceptionally(e);
             } finally {
-                open.remove(Thread.currentThread());
+                openCalls.remove(Thread.currentThread());
             }
         });
         return result;
     }
 
-    /** Interrupts open calls, which end with what they know, and closes all connections. */
+    /** Interrupts open calls, which end with outcome {@code unknown}, and closes all connections. */
     @Override
     public void close() {
-        open.keySet().forEach(Thread::interrupt);
+        openCalls.keySet().forEach(Thread::interrupt);
         try {
             vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (ExecutionException | TimeoutException e) {
-            throw new IllegalStateException("the client did not close", e);
+            throw new IllegalStateException("the client could not be closed", e);
         }
     }
 
@@ -92,7 +93,7 @@
         return options;
     }
 
-    void note(HistoryRecord record) {
+    void recordHistory(HistoryRecord record) {
         history.accept(record);
     }
 
@@ -100,13 +101,13 @@
         return options.entries().get(Math.floorMod(index, options.entries().size()));
     }
 
-    Exchange exchange(Address entry, HttpMethod method, String path, Map<String, String> headers, Buffer body) {
-        RequestOptions target = new RequestOptions()
+    Exchange startExchange(Address entry, HttpMethod method, String path, Map<String, String> headers, Buffer body) {
+        RequestOptions requestOptions = new RequestOptions()
                 .setHost(entry.host())
                 .setPort(entry.port())
                 .setMethod(method)
                 .setURI(path);
-        headers.forEach(target::putHeader);
-        return new Exchange(client, target, body);
+        headers.forEach(requestOptions::putHeader);
+        return new Exchange(client, requestOptions, body);
     }
 }
--- a/tools/src/main/java/org/verbenatally/load/CallerOptions.java
+++ b/tools/src/main/java/org/verbenatally/load/CallerOptions.java
@@ -5,37 +5,42 @@
 import org.verbenatally.core.Address;
 
 /**
- * How a caller behaves.
+ * Timeouts and retry limits of a caller.
  *
- * @param entries entries to send to, in turn
- * @param silenceMs time without a byte after which a stream is resumed at another entry, in milliseconds
- * @param headMs time without a response to a new stream after which another copy is sent, in milliseconds
- * @param maxCopies most copies of a request that are sent, the first included
- * @param maxResumes most resumes of a stream
- * @param notRunRetries copies sent after an answer {@code not-run}, each after the time that the answer named
+ * @param entries addresses of the entries, which are used in turn
+ * @param silenceTimeoutMs time without data after which a stream is resumed at another entry, in milliseconds
+ * @param headTimeoutMs time without a response head for a new stream after which another copy is sent, in milliseconds
+ * @param maxCopies maximum number of copies of a request that are sent, the first included
+ * @param maxResumes maximum number of resumes of a stream
+ * @param notRunRetries maximum number of further copies that are sent after a response {@code not-run}, each after the
+ *     delay that the response requests
  * @param graceMs time after the deadline until the caller gives up, in milliseconds
- * @param connectTimeoutMs longest time to connect, in milliseconds
+ * @param connectTimeoutMs connect timeout, in milliseconds
  */
 public record CallerOptions(
         List<Address> entries,
-        long silenceMs,
-        long headMs,
+        long silenceTimeoutMs,
+        long headTimeoutMs,
         int maxCopies,
         int maxResumes,
         int notRunRetries,
         long graceMs,
         long connectTimeoutMs) {
 
-    /** Returns the defaults: resume after 5 s of silence, up to 4 copies and 8 resumes, no retry of {@code not-run}. */
-    public static CallerOptions to(List<Address> entries) {
+    /**
+     * Returns the default options: resume after 5 s without data, up to 4 copies and 8 resumes, no retry after {@code
+     * not-run}.
+     */
+    public static CallerOptions defaults(List<Address> entries) {
         return new CallerOptions(entries, 5_000, 20_000, 4, 8, 0, 5_000, 2_000);
     }
 
-    /** Checks that there is an entry. */
+    /** Checks that there is at least one entry, and the ranges of the timeouts and of {@code maxCopies}. */
     public CallerOptions {
         entries = List.copyOf(entries);
-        if (entries.isEmpty() || silenceMs < 1 || headMs < 1 || maxCopies < 1 || connectTimeoutMs < 1) {
-            throw new IllegalArgumentException("a caller needs at least one entry, one copy and positive times");
+        if (entries.isEmpty() || silenceTimeoutMs < 1 || headTimeoutMs < 1 || maxCopies < 1 || connectTimeoutMs < 1) {
+            throw new IllegalArgumentException(
+                    "a caller needs at least one entry, at least one copy and positive timeouts");
         }
     }
 }
--- a/tools/src/main/java/org/verbenatally/load/EventReader.java
+++ b/tools/src/main/java/org/verbenatally/load/EventReader.java
@@ -6,39 +6,39 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Splits a byte stream into server-sent events; comments are dropped. */
+/** Parses a byte stream into server-sent events; ignores comments. */
 final class EventReader {
     /**
      * One event.
      *
-     * @param name value of the {@code event} field; {@code message} if absent
-     * @param id value of the {@code id} field, or {@code null}
+     * @param name value of the {@code event} field; {@code message} if it is absent
+     * @param id value of the {@code id} field, or {@code null} if it is absent
      * @param data value of the {@code data} field
      */
     record Event(String name, String id, String data) {}
 
-    private Buffer rest = Buffer.buffer();
+    private Buffer pending = Buffer.buffer();
     private String name = "message";
     private String id;
     private final StringBuilder data = new StringBuilder();
 
     /** Adds bytes and returns the events that they complete. */
     List<Event> add(Buffer bytes) {
-        rest.appendBuffer(bytes);
+        pending.appendBuffer(bytes);
         List<Event> events = new ArrayList<>();
         int start = 0;
-        for (int i = 0; i < rest.length(); i++) {
-            if (rest.getByte(i) == '\n') {
-                int end = i > start && rest.getByte(i - 1) == '\r' ? i - 1 : i;
-                line(rest.getString(start, end, StandardCharsets.UTF_8.name()), events);
+        for (int i = 0; i < pending.length(); i++) {
+            if (pending.getByte(i) == '\n') {
+                int end = i > start && pending.getByte(i - 1) == '\r' ? i - 1 : i;
+                parseLine(pending.getString(start, end, StandardCharsets.UTF_8.name()), events);
                 start = i + 1;
             }
         }
-        rest = rest.getBuffer(start, rest.length());
+        pending = pending.getBuffer(start, pending.length());
         return events;
     }
 
-    private void line(String line, List<Event> events) {
+    private void parseLine(String line, List<Event> events) {
         if (line.isEmpty()) {
             if (!data.isEmpty()) {
                 events.add(new Event(name, id, data.toString()));
@@ -60,7 +60,7 @@
             case "id" -> id = value;
             case "data" -> data.append(data.isEmpty() ? "" : "\n").append(value);
             default -> {
-                // Other fields have no meaning here.
+                // Callers do not use other fields, such as retry.
             }
         }
     }
--- a/tools/src/main/java/org/verbenatally/load/LoadRun.java
+++ b/tools/src/main/java/org/verbenatally/load/LoadRun.java
@@ -65,7 +65,7 @@
     public LoadResult run() {
         List<Arrival> plan = ArrivalPlan.of(options);
         try (EngineReports reports = new EngineReports(options.engines());
-                CallerClient client = new CallerClient(CallerOptions.to(options.entries()), history)) {
+                CallerClient client = new CallerClient(CallerOptions.defaults(options.entries()), history)) {
             reports.read();
             long start = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(50);
             nextProgress = start + PROGRESS_NANOS;
--- a/tools/src/test/java/org/verbenatally/load/CallerClientTest.java
+++ b/tools/src/test/java/org/verbenatally/load/CallerClientTest.java
@@ -18,7 +18,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The caller's side of the protocol, against scripted entries. */
+/** Tests how the client resumes, retries and checks responses, against scripted entries. */
 class CallerClientTest {
     private static final GenerationId GENERATION = new GenerationId("0123456789abcdef0123456789abcdef");
     private static final String START =
@@ -26,7 +26,7 @@
     private static final String END = "event: end\ndata: {\"outcome\":\"done\",\"tokens\":4}\n\n";
 
     private final Vertx vertx = Vertx.vertx();
-    private final List<String> seen = Collections.synchronizedList(new ArrayList<>());
+    private final List<String> receivedRequests = Collections.synchronizedList(new ArrayList<>());
 
     @AfterEach
     void stop() {
@@ -36,8 +36,8 @@
     private Address entry(Handler<HttpServerRequest> script) throws Exception {
         var server = vertx.createHttpServer()
                 .requestHandler(request -> {
-                    seen.add(request.method() + " " + request.path() + " " + request.getHeader("Last-Event-ID") + " "
-                            + request.getHeader("Idempotency-Key"));
+                    receivedRequests.add(request.method() + " " + request.path() + " "
+                            + request.getHeader("Last-Event-ID") + " " + request.getHeader("Idempotency-Key"));
                     script.handle(request);
                 })
                 .listen(0, "127.0.0.1");
@@ -57,13 +57,13 @@
         return events.toString();
     }
 
-    private static CallRequest stream() {
+    private static CallRequest streamRequest() {
         return CallRequest.generation("w1", "guide", "o1", "secret", "text", 4, true, 30_000);
     }
 
-    /** A cut in mid-stream must cost the caller no token and show it none twice. */
+    /** A stream whose connection is lost part-way must be resumed without lost or duplicate tokens. */
     @Test
-    void resumesAtAnotherEntryAfterACut() throws Exception {
+    void resumesAtAnotherEntryAfterLostConnection() throws Exception {
         Address first = entry(request -> request.response()
                 .setChunked(true)
                 .putHeader("Content-Type", "text/event-stream")
@@ -73,45 +73,46 @@
                 .putHeader("Content-Type", "text/event-stream")
                 .end(tokens(2, 4) + END));
         List<HistoryRecord> history = Collections.synchronizedList(new ArrayList<>());
-        try (CallerClient client = new CallerClient(CallerOptions.to(List.of(first, second)), history::add)) {
-            CallRecord record = client.send(stream()).get(20, TimeUnit.SECONDS);
+        try (CallerClient client = new CallerClient(CallerOptions.defaults(List.of(first, second)), history::add)) {
+            CallRecord record = client.send(streamRequest()).get(20, TimeUnit.SECONDS);
             assertThat(record.outcome()).isEqualTo(Outcome.DONE);
             assertThat(record.tokens()).isEqualTo(4);
             assertThat(record.violations()).isEmpty();
-            assertThat(seen).containsExactly("POST /v1/work/guide null null", "GET /v1/streams/st st:1 null");
+            assertThat(receivedRequests)
+                    .containsExactly("POST /v1/work/guide null null", "GET /v1/streams/st st:1 null");
             assertThat(history).hasSize(6);
         }
     }
 
     @Test
-    void reportsATokenThatIsMissingAndOneOfAnotherGeneration() throws Exception {
-        String foreign = "id: st:1\ndata: {\"t\":\"ffffffff.1 \"}\n\n";
+    void reportsMissingTokenAndTokenOfAnotherGeneration() throws Exception {
+        String otherGeneration = "id: st:1\ndata: {\"t\":\"ffffffff.1 \"}\n\n";
         Address entry = entry(request -> request.response()
                 .putHeader("Content-Type", "text/event-stream")
-                .end(START + tokens(0, 1) + foreign + tokens(3, 4) + END));
-        try (CallerClient client = new CallerClient(CallerOptions.to(List.of(entry)))) {
-            CallRecord record = client.send(stream()).get(20, TimeUnit.SECONDS);
+                .end(START + tokens(0, 1) + otherGeneration + tokens(3, 4) + END));
+        try (CallerClient client = new CallerClient(CallerOptions.defaults(List.of(entry)))) {
+            CallRecord record = client.send(streamRequest()).get(20, TimeUnit.SECONDS);
             assertThat(record.violations()).hasSize(3);
         }
     }
 
-    /** A resend with a new key would let a booking run twice. */
+    /** A retry with a new key could book an order twice. */
     @Test
-    void resendsNonRepeatableWorkWithTheSameKey() throws Exception {
-        Address lossy = entry(request -> {
+    void retriesNonRepeatableWorkWithTheSameKey() throws Exception {
+        Address failing = entry(request -> {
             if (request.path().startsWith("/v1/keys/")) {
                 request.response().setStatusCode(201).end("{\"key\":\"k1\"}");
             } else {
                 request.connection().close();
             }
         });
-        Address sound =
+        Address working =
                 entry(request -> request.response().putHeader("Outcome", "done").end("{\"work\":\"w1\"}"));
-        try (CallerClient client = new CallerClient(CallerOptions.to(List.of(lossy, lossy, sound)))) {
+        try (CallerClient client = new CallerClient(CallerOptions.defaults(List.of(failing, failing, working)))) {
             CallRecord record = client.send(CallRequest.call("w1", "order-booking", "o1", "secret", false, 30_000))
                     .get(20, TimeUnit.SECONDS);
             assertThat(record.outcome()).isEqualTo(Outcome.DONE);
-            assertThat(seen)
+            assertThat(receivedRequests)
                     .containsExactly(
                             "POST /v1/keys/order-booking null null",
                             "POST /v1/work/order-booking null k1",
@@ -120,10 +121,10 @@
     }
 
     @Test
-    void endsWithUnknownWhenNoEntryAnswers() throws Exception {
-        Address dead = entry(request -> request.connection().close());
-        try (CallerClient client = new CallerClient(CallerOptions.to(List.of(dead)))) {
-            CallRecord record = client.send(stream()).get(20, TimeUnit.SECONDS);
+    void endsWithUnknownWhenNoEntryResponds() throws Exception {
+        Address failing = entry(request -> request.connection().close());
+        try (CallerClient client = new CallerClient(CallerOptions.defaults(List.of(failing)))) {
+            CallRecord record = client.send(streamRequest()).get(20, TimeUnit.SECONDS);
             assertThat(record.outcome()).isEqualTo(Outcome.UNKNOWN);
             assertThat(record.sends()).hasSize(4);
         }
--- a/tools/src/test/java/org/verbenatally/load/ScriptedEntry.java
+++ b/tools/src/test/java/org/verbenatally/load/ScriptedEntry.java
@@ -13,11 +13,14 @@
 import org.verbenatally.core.Address;
 import org.verbenatally.core.GenerationId;
 
-/** Passes requests to engine stand-ins in turn, with none of an entry's guarantees. Calls of services are answered. */
+/**
+ * Forwards generations to engine stand-ins in turn, without the guarantees of a real entry. Responds to calls of
+ * services itself.
+ */
 final class ScriptedEntry implements AutoCloseable {
     private final Vertx vertx = Vertx.vertx();
     private final HttpClient client = vertx.createHttpClient(new PoolOptions().setHttp1MaxSize(10_000));
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger sequence = new AtomicInteger();
     private final List<Address> engines;
 
     ScriptedEntry(List<Address> engines) {
@@ -36,7 +39,7 @@
 
     private void handle(HttpServerRequest request) {
         if (request.path().startsWith("/v1/keys/")) {
-            request.response().setStatusCode(201).end("{\"key\":\"k" + turn.getAndIncrement() + "\"}");
+            request.response().setStatusCode(201).end("{\"key\":\"k" + sequence.getAndIncrement() + "\"}");
             return;
         }
         request.body().onSuccess(body -> {
@@ -50,13 +53,13 @@
     }
 
     private void generate(HttpServerRequest request, JsonObject work) {
-        Address engine = engines.get(turn.getAndIncrement() % engines.size());
+        Address engine = engines.get(sequence.getAndIncrement() % engines.size());
         GenerationId id = GenerationId.random();
-        JsonObject order = work.copy().put("generation", id.value()).put("model", "m");
+        JsonObject engineRequest = work.copy().put("generation", id.value()).put("model", "m");
         request.response().setChunked(true).putHeader("Content-Type", "text/event-stream");
         request.response().write("event: start\ndata: " + new JsonObject().put("generation", id.value()) + "\n\n");
         client.request(HttpMethod.POST, engine.port(), engine.host(), "/v1/generations")
-                .compose(opened -> opened.send(order.toBuffer()))
+                .compose(opened -> opened.send(engineRequest.toBuffer()))
                 .onSuccess(response -> {
                     response.handler(request.response()::write);
                     response.endHandler(ignored -> request.response().end());
