--- a/tools/src/main/java/org/verbenatally/load/Arrival.java
+++ b/tools/src/main/java/org/verbenatally/load/Arrival.java
@@ -3,8 +3,8 @@
 /**
  * A planned request.
  *
- * @param atNanos time after the start of the run at which it is due
- * @param kind load of its kind
- * @param request what is sent
+ * @param atNanos time at which it is due, in nanoseconds after the start of the run
+ * @param kind load model of its kind
+ * @param request request to send
  */
 record Arrival(long atNanos, KindLoad kind, CallRequest request) {}
--- a/tools/src/main/java/org/verbenatally/load/EngineReports.java
+++ b/tools/src/main/java/org/verbenatally/load/EngineReports.java
@@ -14,33 +14,36 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.core.Address;
 
-/** Counts preemptions from the engines' load reports. A restarted engine counts from zero again. */
+/**
+ * Counts preemptions from the engines' load reports. The counter in the reports starts again at zero when an engine
+ * restarts.
+ */
 final class EngineReports implements AutoCloseable {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
-    private record Seen(long incarnation, long preemptions) {}
+    private record Report(long incarnation, long preemptions) {}
 
     private final List<Address> engines;
-    private final Map<Address, Seen> last = new HashMap<>();
+    private final Map<Address, Report> lastReports = new HashMap<>();
     private final HttpClient client =
             HttpClient.newBuilder().connectTimeout(TIMEOUT).build();
     private long preemptions;
-    private long highestUsed;
+    private long highestUsedTokens;
 
     EngineReports(List<Address> engines) {
         this.engines = engines;
     }
 
-    /** Reads all engines; those that do not answer are left out. */
+    /** Reads the load report of each engine; skips engines that do not respond. */
     synchronized void read() {
         for (Address engine : engines) {
             try {
                 URI uri = URI.create("http://" + engine + "/v1/load");
                 var response = client.send(
                         HttpRequest.newBuilder(uri).timeout(TIMEOUT).build(), HttpResponse.BodyHandlers.ofString());
-                add(engine, new JsonObject(response.body()));
+                addReport(engine, new JsonObject(response.body()));
             } catch (IOException | DecodeException e) {
-                // A dead engine is part of some experiments; its later reports count again.
+                // Some experiments stop an engine; its reports are counted again once it responds.
                 continue;
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
@@ -49,22 +52,22 @@
         }
     }
 
-    private void add(Address engine, JsonObject report) {
-        Seen now = new Seen(report.getLong("incarnation"), report.getLong("preemptions"));
-        Seen before = last.put(engine, now);
-        if (before != null) {
-            boolean restarted = before.incarnation() != now.incarnation();
-            preemptions += now.preemptions() - (restarted ? 0 : before.preemptions());
+    private void addReport(Address engine, JsonObject report) {
+        Report current = new Report(report.getLong("incarnation"), report.getLong("preemptions"));
+        Report previous = lastReports.put(engine, current);
+        if (previous != null) {
+            boolean restarted = previous.incarnation() != current.incarnation();
+            preemptions += current.preemptions() - (restarted ? 0 : previous.preemptions());
         }
-        highestUsed = Math.max(highestUsed, report.getLong("kvUsedTokens"));
+        highestUsedTokens = Math.max(highestUsedTokens, report.getLong("kvUsedTokens"));
     }
 
     long preemptions() {
         return preemptions;
     }
 
-    long highestUsed() {
-        return highestUsed;
+    long highestUsedTokens() {
+        return highestUsedTokens;
     }
 
     @Override
--- a/tools/src/main/java/org/verbenatally/load/KindLoad.java
+++ b/tools/src/main/java/org/verbenatally/load/KindLoad.java
@@ -1,36 +1,36 @@
 package org.verbenatally.load;
 
 /**
- * Load of one kind of work. Output lengths are log-normal with the given median and sigma; a share of them is drawn
- * from a Pareto distribution (exponent 1.2, from four medians on) instead, which gives the heavy tail. Lengths are cut
- * at {@code longest}.
+ * Load model of one kind of work. Output lengths follow a log-normal distribution with the given median and sigma. A
+ * share of them is sampled from a Pareto distribution instead (exponent 1.2, minimum four medians), which gives a heavy
+ * tail. Lengths are capped at {@code maxLength}.
  *
  * @param kind name of the kind
- * @param share part of all requests
- * @param engine whether it runs on engines; otherwise there are no lengths
- * @param stream whether the answer comes token by token
- * @param repeatable whether a second run does no harm
- * @param prefixTokens tokens of the start of the prompt, which several requests of an organisation share
- * @param median median output length, in tokens
- * @param sigma standard deviation of the logarithm of the length
- * @param tailShare share of lengths that come from the tail
- * @param longest longest output, in tokens
+ * @param share share of all requests, from 0 to 1
+ * @param runsOnEngine whether it runs on engines; kinds that run on services have no output lengths
+ * @param stream whether the response is streamed token by token
+ * @param repeatable whether the work may safely run more than once
+ * @param prefixTokens length of the prompt prefix that requests of an organisation share, in tokens
+ * @param medianLength median output length, in tokens
+ * @param sigma standard deviation of the logarithm of the output length
+ * @param tailShare share of the output lengths that are sampled from the Pareto distribution
+ * @param maxLength maximum output length, in tokens
  * @param deadlineMs deadline of a request, in milliseconds
  */
 public record KindLoad(
         String kind,
         double share,
-        boolean engine,
+        boolean runsOnEngine,
         boolean stream,
         boolean repeatable,
         int prefixTokens,
-        int median,
+        int medianLength,
         double sigma,
         double tailShare,
-        int longest,
+        int maxLength,
         long deadlineMs) {
 
-    /** Returns the load of a kind of a plain service. */
+    /** Returns the load model of a kind that runs on a service. */
     static KindLoad service(String kind, double share, boolean repeatable) {
         return new KindLoad(kind, share, false, false, repeatable, 0, 0, 0, 0, 0, 10_000);
     }
--- a/tools/src/main/java/org/verbenatally/load/LoadMain.java
+++ b/tools/src/main/java/org/verbenatally/load/LoadMain.java
@@ -27,13 +27,13 @@
 import org.verbenatally.standin.EngineOptions;
 import org.verbenatally.standin.OptionRecords;
 
-/** Sends load to a fleet and prints a summary. Status 1: the run failed; status 2: wrong arguments. */
+/** Sends load to a fleet and prints a summary. Exit status 1: the run failed; 2: invalid arguments. */
 public final class LoadMain {
-    private static final int SUMMARY_ONLY = 2;
+    private static final int COMPARED_SUMMARIES = 2;
 
     private LoadMain() {}
 
-    /** Runs the experiment that the arguments describe, or compares two summaries. */
+    /** Runs the experiment that the arguments specify, or compares two summaries. */
     public static void main(String[] args) throws Exception {
         System.exit(new Program("verbenatally-load", "", "Sends load to a fleet.", options(), LoadMain.class)
                 .run(args, LoadMain::execute));
@@ -59,35 +59,43 @@
         Options options = new Options();
         options.addOption(Option.builder()
                 .longOpt("compare")
-                .numberOfArgs(SUMMARY_ONLY)
+                .numberOfArgs(COMPARED_SUMMARIES)
                 .desc("print the ratios of two summary files, the baseline first")
                 .get());
-        add(options, "deployment", "abay or aarhus (default abay)");
-        add(options, "entries", "host:port of the entries, separated by commas");
-        add(options, "engines", "host:port of the engines, separated by commas; read for preemptions");
-        add(
+        addValueOption(options, "deployment", "abay or aarhus (default abay)");
+        addValueOption(options, "entries", "host:port of the entries, comma-separated");
+        addValueOption(options, "engines", "host:port of the engines, comma-separated; read to count preemptions");
+        addValueOption(
                 options,
                 "callers",
-                "JSON file: [{\"organisation\",\"credential\",\"weight\"}] (default: ten, three large)");
-        add(options, "config", "deployment document: its organisations are the callers, its engines are read");
-        add(options, "engine", "NAME=VALUE of an engine option, separated by commas, for --load");
-        add(options, "rate", "mean requests a second");
-        add(options, "load", "instead of --rate: part of the capacity of the engines");
-        add(options, "seconds", "length of the arrivals (default 70)");
-        add(options, "warmup", "seconds that are not measured (default 10)");
-        add(options, "drain", "longest wait for open requests, in seconds (default 60)");
-        add(options, "seed", "seed (default 1)");
-        add(options, "length-scale", "factor on output lengths and prompt prefixes (default 1)");
-        add(options, "burst-factor", "factor on the rate during bursts (default 2; 1: none)");
-        add(options, "burst-seconds", "length of a burst (default 4)");
-        add(options, "burst-every", "seconds from one burst to the next (default 20)");
-        add(options, "burst-organisation", "the only organisation that bursts (default: all)");
-        add(options, "out", "directory for requests.csv, summary.json and plots (default: summary on stdout only)");
-        add(options, "history", "file for the callers' history");
+                "JSON file: [{\"organisation\",\"credential\",\"weight\"}] (default: ten, three of them large)");
+        addValueOption(
+                options,
+                "config",
+                "deployment document that defines the callers (its organisations) and the engines to read");
+        addValueOption(
+                options,
+                "engine",
+                "engine options as NAME=VALUE, comma-separated; used to compute the rate for --load");
+        addValueOption(options, "rate", "mean request rate, in requests a second");
+        addValueOption(
+                options, "load", "offered load as a share of the capacity of the engines; alternative to --rate");
+        addValueOption(options, "seconds", "time during which requests arrive, in seconds (default 70)");
+        addValueOption(options, "warmup", "warm-up time that is not measured, in seconds (default 10)");
+        addValueOption(options, "drain", "maximum wait for open requests, in seconds (default 60)");
+        addValueOption(options, "seed", "seed of all random choices (default 1)");
+        addValueOption(options, "length-scale", "factor on output lengths and prompt prefixes (default 1)");
+        addValueOption(options, "burst-factor", "factor on the rate during bursts (default 2; 1 for no bursts)");
+        addValueOption(options, "burst-seconds", "length of a burst, in seconds (default 4)");
+        addValueOption(options, "burst-every", "time from the start of one burst to the next, in seconds (default 20)");
+        addValueOption(options, "burst-organisation", "the only organisation that has bursts (default: all)");
+        addValueOption(
+                options, "out", "directory for requests.csv, summary.json and plots (default: summary on stdout only)");
+        addValueOption(options, "history", "file to which the callers' history is written");
         return options;
     }
 
-    private static void add(Options options, String name, String description) {
+    private static void addValueOption(Options options, String name, String description) {
         options.addOption(
                 Option.builder().longOpt(name).hasArg().desc(description).get());
     }
@@ -150,14 +158,14 @@
         if (!line.hasOption("load") || engines == 0) {
             throw new ParseException("--rate, or --load with --engines or --config, is required");
         }
-        Map<String, String> changes = new LinkedHashMap<>();
+        Map<String, String> overrides = new LinkedHashMap<>();
         for (String pair : line.getOptionValue("engine", "").split(",")) {
             int equals = pair.indexOf('=');
             if (equals > 0) {
-                changes.put(pair.substring(0, equals), pair.substring(equals + 1));
+                overrides.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
         }
-        EngineOptions engine = OptionRecords.with(EngineOptions.defaults("any"), changes);
+        EngineOptions engine = OptionRecords.with(EngineOptions.defaults("any"), overrides);
         return Double.parseDouble(line.getOptionValue("load")) * workload.capacity(engine, engines);
     }
 
@@ -188,8 +196,8 @@
 
     private static List<Caller> callers(String json) {
         List<Caller> callers = new ArrayList<>();
-        for (Object each : new JsonArray(json)) {
-            JsonObject caller = (JsonObject) each;
+        for (Object element : new JsonArray(json)) {
+            JsonObject caller = (JsonObject) element;
             callers.add(new Caller(
                     caller.getString("organisation"), caller.getString("credential"), caller.getDouble("weight", 1.0)));
         }
--- a/tools/src/main/java/org/verbenatally/load/LoadOptions.java
+++ b/tools/src/main/java/org/verbenatally/load/LoadOptions.java
@@ -7,20 +7,22 @@
 /**
  * Options of a load run.
  *
- * @param workload kinds and lengths
- * @param callers organisations
- * @param entries entries that get the load
- * @param engines engines whose reports are read for preemptions; may be empty
- * @param rate mean requests a second over all kinds, outside bursts of one organisation
- * @param seconds length of the arrivals, in seconds
- * @param warmupSeconds requests that arrive earlier are sent but not measured, in seconds
- * @param drainSeconds longest wait for open requests after the last arrival, in seconds
+ * @param workload kinds of work and their output lengths
+ * @param callers organisations that send the load
+ * @param entries entries that receive the load
+ * @param engines engines whose load reports are read to count preemptions; may be empty
+ * @param rate mean request rate over all kinds, in requests a second, excluding the additional requests of bursts of a
+ *     single organisation
+ * @param seconds time during which requests arrive, in seconds
+ * @param warmupSeconds initial time, in seconds; requests that arrive during it are sent but not measured
+ * @param drainSeconds maximum wait for open requests once arrivals have ended, in seconds
  * @param seed seed of arrivals, kinds, lengths and prompts
- * @param burstFactor factor on the rate during a burst; 1: none
+ * @param burstFactor factor on the rate during a burst; 1 for no bursts
  * @param burstSeconds length of a burst, in seconds
- * @param burstEverySeconds time from one burst to the next, in seconds; the first begins half of it into the run
- * @param burstOrganisation the only organisation that bursts, on top of the mean rate; empty: all burst together and
- *     the mean rate stays
+ * @param burstEverySeconds time from the start of one burst to the start of the next, in seconds; the first burst
+ *     starts after half of this time
+ * @param burstOrganisation the only organisation that has bursts, in addition to the mean rate; if empty, all
+ *     organisations have bursts at the same time and the mean rate over the run includes them
  * @param progress whether a progress line is printed on standard error every 5 s
  */
 public record LoadOptions(
@@ -40,29 +42,29 @@
         boolean progress) {
 
     /**
-     * Returns a run of 60 s after 10 s of warm-up, with bursts of all organisations to twice the rate for 4 s every
-     * 20 s, that waits up to 60 s for open requests.
+     * Returns the options of a run of 60 s after 10 s of warm-up, with bursts of all organisations to twice the rate
+     * for 4 s every 20 s, and a wait of up to 60 s for open requests.
      */
     public static LoadOptions of(Workload workload, List<Address> entries, List<Address> engines, double rate) {
         return new LoadOptions(
                 workload, Caller.tenWithThreeLarge(), entries, engines, rate, 70, 10, 60, 1, 2, 4, 20, "", false);
     }
 
-    /** Checks ranges. */
+    /** Checks that the values are in range. */
     public LoadOptions {
         callers = List.copyOf(callers);
         entries = List.copyOf(entries);
         engines = List.copyOf(engines);
         if (!(rate > 0) || seconds < 1 || warmupSeconds < 0 || warmupSeconds >= seconds || drainSeconds < 0) {
-            throw new IllegalArgumentException("rate and seconds must be positive, warm-up shorter than the run");
+            throw new IllegalArgumentException("rate and seconds must be positive, and warm-up shorter than the run");
         }
         if (burstFactor < 1 || !(burstSeconds > 0) || burstEverySeconds < burstSeconds) {
-            throw new IllegalArgumentException("burstFactor must be at least 1, bursts must not overlap");
+            throw new IllegalArgumentException("burstFactor must be at least 1 and bursts must not overlap");
         }
     }
 
-    /** Returns whether the organisation's rate is raised at a time after the start, in seconds. */
-    boolean bursts(String organisation, double second) {
+    /** Returns whether the organisation's rate is raised at a time, given in seconds after the start of the run. */
+    boolean isBursting(String organisation, double second) {
         double at = (second + burstEverySeconds / 2) % burstEverySeconds;
         return at < burstSeconds && (burstOrganisation.isEmpty() || burstOrganisation.equals(organisation));
     }
--- a/tools/src/main/java/org/verbenatally/load/LoadResult.java
+++ b/tools/src/main/java/org/verbenatally/load/LoadResult.java
@@ -8,7 +8,7 @@
 
 import io.vertx.core.json.JsonObject;
 
-/** What a run measured. */
+/** Results of a load run. */
 public final class LoadResult {
     private final JsonObject summary;
     private final List<RequestRow> rows;
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Writes {@code requests.csv} (all requests, also those of the warm-up), {@code summary.json}, {@code
+     * Writes {@code requests.csv} (all requests, including those of the warm-up), {@code summary.json}, {@code
      * latency.png} and {@code timeline.png}.
      *
-     * @param directory created if missing
+     * @param directory output directory; created if it does not exist
      * @throws UncheckedIOException if a file cannot be written
      */
     public void write(Path directory) {
@@ -44,7 +44,7 @@
             StringBuilder csv = new StringBuilder(RequestRow.HEADER).append('\n');
             rows.forEach(row -> csv.append(row.csv(startNanos)).append('\n'));
             Files.writeString(directory.resolve("requests.csv"), csv);
-            Plots.latency(all.curves(), directory.resolve("latency.png"));
+            Plots.latency(all.latencyCurves(), directory.resolve("latency.png"));
             Plots.timeline(rows, startNanos, directory.resolve("timeline.png"));
         } catch (IOException e) {
             throw new UncheckedIOException("cannot write results to " + directory, e);
--- a/tools/src/main/java/org/verbenatally/load/LoadRun.java
+++ b/tools/src/main/java/org/verbenatally/load/LoadRun.java
@@ -17,27 +17,27 @@
 import org.verbenatally.history.HistoryRecord;
 
 /**
- * One open-loop experiment: requests are sent when they are due, whether or not earlier ones have ended, and latencies
- * count from the due time.
+ * Runs one open-loop experiment: requests are sent when they are due, whether or not earlier ones have ended, and
+ * latencies are measured from the due time.
  */
 public final class LoadRun {
-    /** Protects the machine when a system under test stops answering. */
-    private static final int MAX_OPEN = 20_000;
+    /** Protects the machine from overload if the system under test stops responding. */
+    private static final int MAX_OPEN_REQUESTS = 20_000;
 
-    private static final int VIOLATION_SAMPLES = 20;
-    private static final long PROGRESS_NANOS = 5_000_000_000L;
-    private static final long REPORT_NANOS = 1_000_000_000L;
+    private static final int MAX_LISTED_VIOLATIONS = 20;
+    private static final long PROGRESS_PERIOD_NANOS = 5_000_000_000L;
+    private static final long REPORT_PERIOD_NANOS = 1_000_000_000L;
 
-    private record Open(Arrival arrival, CompletableFuture<CallRecord> future) {}
+    private record SentRequest(Arrival arrival, CompletableFuture<CallRecord> future) {}
 
     private final LoadOptions options;
     private final Consumer<HistoryRecord> history;
-    private final List<Open> sent = new ArrayList<>();
-    private final Map<Outcome, AtomicLong> ended = new ConcurrentHashMap<>();
-    private final AtomicLong open = new AtomicLong();
+    private final List<SentRequest> sent = new ArrayList<>();
+    private final Map<Outcome, AtomicLong> endedByOutcome = new ConcurrentHashMap<>();
+    private final AtomicLong openRequests = new AtomicLong();
     private final AtomicLong tokens = new AtomicLong();
-    private long nextProgress;
-    private long nextReport;
+    private long nextProgressNanos;
+    private long nextReportNanos;
 
     /** Creates a run that records no history. */
     public LoadRun(LoadOptions options) {
@@ -47,18 +47,19 @@
     /**
      * Creates a run.
      *
-     * @param history receives what the callers sent and saw, from several threads
+     * @param history receives a record of what the callers send and receive; called from several threads
      */
     public LoadRun(LoadOptions options, Consumer<HistoryRecord> history) {
         this.options = options;
         this.history = history;
         for (Outcome outcome : Outcome.values()) {
-            ended.put(outcome, new AtomicLong());
+            endedByOutcome.put(outcome, new AtomicLong());
         }
     }
 
     /**
-     * Runs the experiment to its end, at most {@code seconds + drainSeconds} and some seconds more. Call it once.
+     * Runs the experiment. Takes at most {@code seconds + drainSeconds} and a few seconds more. May be called only
+     * once.
      *
      * @throws IllegalStateException if more than 20,000 requests are open
      */
@@ -68,14 +69,14 @@
                 CallerClient client = new CallerClient(CallerOptions.defaults(options.entries()), history)) {
             reports.read();
             long start = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(50);
-            nextProgress = start + PROGRESS_NANOS;
-            nextReport = start + REPORT_NANOS;
+            nextProgressNanos = start + PROGRESS_PERIOD_NANOS;
+            nextReportNanos = start + REPORT_PERIOD_NANOS;
             for (Arrival arrival : plan) {
                 waitUntil(start + arrival.atNanos(), start, reports);
                 send(client, arrival);
             }
             long end = start + TimeUnit.SECONDS.toNanos((long) options.seconds() + options.drainSeconds());
-            while (open.get() > 0 && System.nanoTime() - end < 0) {
+            while (openRequests.get() > 0 && System.nanoTime() - end < 0) {
                 waitUntil(Math.min(end, System.nanoTime() + 20_000_000), start, reports);
             }
             boolean[] finished = new boolean[sent.size()];
@@ -89,28 +90,28 @@
     }
 
     private void send(CallerClient client, Arrival arrival) {
-        if (open.incrementAndGet() > MAX_OPEN) {
-            throw new IllegalStateException("more than " + MAX_OPEN + " requests are open");
+        if (openRequests.incrementAndGet() > MAX_OPEN_REQUESTS) {
+            throw new IllegalStateException("more than " + MAX_OPEN_REQUESTS + " requests are open");
         }
         CompletableFuture<CallRecord> future = client.send(arrival.request());
         future.thenAccept(record -> {
-            open.decrementAndGet();
-            ended.get(record.outcome()).incrementAndGet();
+            openRequests.decrementAndGet();
+            endedByOutcome.get(record.outcome()).incrementAndGet();
             tokens.addAndGet(record.tokens());
         });
-        sent.add(new Open(arrival, future));
+        sent.add(new SentRequest(arrival, future));
     }
 
     private void waitUntil(long dueNanos, long start, EngineReports reports) {
         while (true) {
             long now = System.nanoTime();
-            if (now - nextReport >= 0 && dueNanos - now > 5_000_000) {
-                nextReport = now + REPORT_NANOS;
+            if (now - nextReportNanos >= 0 && dueNanos - now > 5_000_000) {
+                nextReportNanos = now + REPORT_PERIOD_NANOS;
                 Thread.ofVirtual().start(reports::read);
             }
-            if (options.progress() && now - nextProgress >= 0) {
-                nextProgress += PROGRESS_NANOS;
-                progress((now - start) / 1e9);
+            if (options.progress() && now - nextProgressNanos >= 0) {
+                nextProgressNanos += PROGRESS_PERIOD_NANOS;
+                printProgress((now - start) / 1e9);
             }
             if (now - dueNanos >= 0) {
                 return;
@@ -119,16 +120,16 @@
         }
     }
 
-    private void progress(double second) {
+    private void printProgress(double second) {
         System.err.printf(
                 "load: %.0f/%d s, sent %d, open %d, done %d, not-run %d, unknown %d, tokens of ended requests %d%n",
                 second,
                 options.seconds(),
                 sent.size(),
-                open.get(),
-                ended.get(Outcome.DONE).get(),
-                ended.get(Outcome.NOT_RUN).get(),
-                ended.get(Outcome.UNKNOWN).get(),
+                openRequests.get(),
+                endedByOutcome.get(Outcome.DONE).get(),
+                endedByOutcome.get(Outcome.NOT_RUN).get(),
+                endedByOutcome.get(Outcome.UNKNOWN).get(),
                 tokens.get());
     }
 
@@ -155,9 +156,9 @@
         double seconds = options.seconds() - options.warmupSeconds();
         JsonObject engines = new JsonObject()
                 .put("preemptions", reports.preemptions())
-                .put("highestKvUsedTokens", reports.highestUsed());
+                .put("highestKvUsedTokens", reports.highestUsedTokens());
         JsonObject summary = new JsonObject()
-                .put("options", describe())
+                .put("options", optionsToJson())
                 .put("all", all.toJson(seconds))
                 .put("byKind", toJson(byKind, seconds))
                 .put("byOrganisation", toJson(byOrganisation, seconds))
@@ -166,14 +167,14 @@
         return new LoadResult(summary, rows, start, all);
     }
 
-    /** Returns the first breaches of the contract, so that a run that has some can be judged. */
+    /** Returns the first contract violations, to help diagnose a run that has any. */
     private JsonArray violations() {
         JsonArray samples = new JsonArray();
         sent.stream()
-                .map(each -> each.future().join())
+                .map(request -> request.future().join())
                 .flatMap(record -> record.violations().stream()
-                        .map(what -> record.request().work() + ": " + what))
-                .limit(VIOLATION_SAMPLES)
+                        .map(violation -> record.request().work() + ": " + violation))
+                .limit(MAX_LISTED_VIOLATIONS)
                 .forEach(samples::add);
         return samples;
     }
@@ -184,7 +185,7 @@
         return json;
     }
 
-    private JsonObject describe() {
+    private JsonObject optionsToJson() {
         return new JsonObject()
                 .put("deployment", options.workload().deployment())
                 .put("lengthScale", options.workload().lengthScale())
--- a/tools/src/main/java/org/verbenatally/load/Measurements.java
+++ b/tools/src/main/java/org/verbenatally/load/Measurements.java
@@ -9,26 +9,26 @@
 import org.HdrHistogram.Histogram;
 import org.verbenatally.core.Outcome;
 
-/** What was measured of a group of requests. Times count from the intended send time. Not safe for several threads. */
+/** Measurements of a group of requests. Times are measured from the intended send time. Not thread-safe. */
 final class Measurements {
-    /** Latency targets of the design: first token, and each further token. */
+    /** Latency levels of the design: time to the first token, and time between tokens. */
     static final long FIRST_TOKEN_NANOS = 480_000_000;
 
-    static final long GAP_NANOS = 54_000_000;
+    static final long TOKEN_GAP_NANOS = 54_000_000;
 
-    private static final long HIGHEST_MICROS = 7_200_000_000L;
+    private static final long MAX_LATENCY_MICROS = 7_200_000_000L;
 
-    private final Histogram firstToken = new Histogram(HIGHEST_MICROS, 3);
-    private final Histogram gap = new Histogram(HIGHEST_MICROS, 3);
-    private final Histogram answer = new Histogram(HIGHEST_MICROS, 3);
+    private final Histogram firstToken = new Histogram(MAX_LATENCY_MICROS, 3);
+    private final Histogram tokenGap = new Histogram(MAX_LATENCY_MICROS, 3);
+    private final Histogram responseTime = new Histogram(MAX_LATENCY_MICROS, 3);
     private final Map<String, Long> counts = new TreeMap<>();
     private long streams;
     private long withinLevels;
     private long stallNanos;
     private long tokens;
-    private long goodTokens;
+    private long goodputTokens;
 
-    /** Adds a request. */
+    /** Adds the result of a request. */
     void add(RequestRow row, long[] tokenNanos, long intendedNanos) {
         count("requests");
         count(row.outcome());
@@ -38,16 +38,16 @@
         tokens += row.tokens();
         stallNanos += row.stallNanos();
         if (row.outcome().equals(Outcome.DONE.text())) {
-            goodTokens += row.tokens();
+            goodputTokens += row.tokens();
             if (!row.stream()) {
-                record(answer, row.endNanos() - intendedNanos);
+                record(responseTime, row.endNanos() - intendedNanos);
             }
         }
         if (row.stream() && row.tokens() > 0) {
             streams++;
             record(firstToken, tokenNanos[0] - intendedNanos);
             for (int i = 1; i < tokenNanos.length; i++) {
-                record(gap, tokenNanos[i] - tokenNanos[i - 1]);
+                record(tokenGap, tokenNanos[i] - tokenNanos[i - 1]);
             }
             withinLevels += row.withinLevels() ? 1 : 0;
         }
@@ -58,10 +58,14 @@
     }
 
     private static void record(Histogram histogram, long nanos) {
-        histogram.recordValue(Math.clamp(nanos / 1_000, 0, HIGHEST_MICROS));
+        histogram.recordValue(Math.clamp(nanos / 1_000, 0, MAX_LATENCY_MICROS));
     }
 
-    /** Returns the part of the summary that describes this group. */
+    /**
+     * Returns the part of the summary that describes this group.
+     *
+     * @param seconds measured time, in seconds
+     */
     JsonObject toJson(double seconds) {
         return new JsonObject()
                 .put("requests", counts.getOrDefault("requests", 0L))
@@ -73,13 +77,13 @@
                 .put("copies", counts.getOrDefault("copies", 0L))
                 .put("resumes", counts.getOrDefault("resumes", 0L))
                 .put("firstTokenMs", percentiles(firstToken))
-                .put("tokenGapMs", percentiles(gap))
-                .put("answerMs", percentiles(answer))
+                .put("tokenGapMs", percentiles(tokenGap))
+                .put("answerMs", percentiles(responseTime))
                 .put("streams", streams)
                 .put("withinLevels", streams == 0 ? 1 : (double) withinLevels / streams)
                 .put("stallSeconds", stallNanos / 1e9)
                 .put("tokens", tokens)
-                .put("goodputTokensPerSecond", goodTokens / seconds)
+                .put("goodputTokensPerSecond", goodputTokens / seconds)
                 .put("goodputRequestsPerSecond", counts.getOrDefault(Outcome.DONE.text(), 0L) / seconds);
     }
 
@@ -91,10 +95,13 @@
         return values.put("max", histogram.getMaxValue() / 1e3);
     }
 
-    /** Returns points of the distribution of first tokens and gaps for a plot: percentiles and milliseconds. */
-    Map<String, List<double[]>> curves() {
+    /**
+     * Returns the distributions of first-token latency and token gap for a plot, as pairs of percentile and
+     * milliseconds.
+     */
+    Map<String, List<double[]>> latencyCurves() {
         Map<String, List<double[]>> curves = new TreeMap<>();
-        Map.of("first token", firstToken, "token gap", gap).forEach((name, histogram) -> {
+        Map.of("first token", firstToken, "token gap", tokenGap).forEach((name, histogram) -> {
             List<double[]> points = new ArrayList<>();
             for (double percentile = 1; percentile <= 99.9; percentile += percentile < 99 ? 1 : 0.1) {
                 points.add(new double[] {percentile, Math.max(0.1, histogram.getValueAtPercentile(percentile) / 1e3)});
--- a/tools/src/main/java/org/verbenatally/load/Plots.java
+++ b/tools/src/main/java/org/verbenatally/load/Plots.java
@@ -11,14 +11,14 @@
 import org.knowm.xchart.XYChartBuilder;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** Draws the results of a run as PNG files. */
+/** Plots the results of a run as PNG files. */
 final class Plots {
     private static final int WIDTH = 1_000;
     private static final int HEIGHT = 600;
 
     private Plots() {}
 
-    /** Draws latency over percentile, with a logarithmic axis of milliseconds. */
+    /** Plots latency in milliseconds on a logarithmic axis, by percentile. */
     static void latency(Map<String, List<double[]>> curves, Path file) throws IOException {
         XYChart chart = chart("Latency from the intended send time", "percentile", "ms");
         chart.getStyler().setYAxisLogarithmic(true);
@@ -30,7 +30,7 @@
         save(chart, file);
     }
 
-    /** Draws arrivals, ends and stall seconds for each second of the run. */
+    /** Plots the requests that arrived and ended, and the stall time, for each second of the run. */
     static void timeline(List<RequestRow> rows, long startNanos, Path file) throws IOException {
         XYChart chart = chart("Requests", "second", "per second");
         TreeMap<Integer, Double> arrived = new TreeMap<>();
--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -178,8 +178,8 @@
                 true,
                 load.stream() ? Kind.Delivery.STREAM : Kind.Delivery.WHOLE,
                 Duration.ofMillis(load.deadlineMs()),
-                load.longest(),
-                load.median(),
+                load.maxLength(),
+                load.medianLength(),
                 3);
     }
 
@@ -191,7 +191,7 @@
         }
         Map<KindName, Kind> kinds = new HashMap<>();
         workload.kinds().stream()
-                .filter(KindLoad::engine)
+                .filter(KindLoad::runsOnEngine)
                 .map(PolicyTrial::kind)
                 .forEach(k -> kinds.put(k.name(), k));
         Map<TargetId, Target> targets = new HashMap<>();
@@ -261,11 +261,11 @@
     }
 
     private void arrive() {
-        KindLoad load = workload.kind(random);
-        int length = workload.length(load, random);
+        KindLoad load = workload.sampleKind(random);
+        int length = workload.sampleLength(load, random);
         double draw = random.nextDouble();
         Entry entry = entries.get(random.nextInt(entries.size()));
-        if (!load.engine()) {
+        if (!load.runsOnEngine()) {
             return;
         }
         Kind kind = deployment.kinds().get(new KindName(load.kind()));
@@ -296,7 +296,7 @@
         String prompt = marker + "x".repeat(Math.max(0, 4 * workload.prefixTokens(load) - marker.length()));
         int priority = call.isUrgent() ? 1 : 0;
         time.at(time.nanos() + MS, () -> {
-            SteppedEngine.Generation generation = engine.model.add("org", prompt, priority, load.longest());
+            SteppedEngine.Generation generation = engine.model.add("org", prompt, priority, load.maxLength());
             engine.running.put(generation, new Running(call, flight));
             engine.step();
         });
--- a/tools/src/main/java/org/verbenatally/load/Workload.java
+++ b/tools/src/main/java/org/verbenatally/load/Workload.java
@@ -13,16 +13,16 @@
  * Kinds of work of a deployment and their output lengths.
  *
  * @param deployment name of the deployment
- * @param kinds loads of the kinds; the shares add up to one
+ * @param kinds load models of the kinds; their shares add up to one
  * @param lengthScale factor on all output lengths and prompt prefixes, for short experiments
  */
 public record Workload(String deployment, List<KindLoad> kinds, double lengthScale) {
     private static final double TAIL_EXPONENT = 1.2;
-    private static final int TAIL_START = 4;
-    private static final int SAMPLES = 50_000;
+    private static final int TAIL_START_MEDIANS = 4;
+    private static final int CAPACITY_SAMPLES = 50_000;
     private static final long DEADLINE_MS = 1_800_000;
 
-    /** Checks the shares. */
+    /** Checks that the shares add up to 1 and that {@code lengthScale} is positive. */
     public Workload {
         kinds = List.copyOf(kinds);
         if (Math.abs(kinds.stream().mapToDouble(KindLoad::share).sum() - 1) > 1e-6 || !(lengthScale > 0)) {
@@ -34,7 +34,7 @@
      * Returns the workload of a deployment.
      *
      * @param deployment {@code abay} or {@code aarhus}
-     * @param lengthScale factor on output lengths and prefixes
+     * @param lengthScale factor on output lengths and prompt prefixes
      */
     public static Workload of(String deployment, double lengthScale) {
         List<KindLoad> kinds =
@@ -78,33 +78,33 @@
         return new Workload(deployment, kinds, lengthScale);
     }
 
-    /** Draws a kind. */
-    KindLoad kind(UniformRandomProvider random) {
-        double at = random.nextDouble();
+    /** Selects a kind at random, in proportion to the shares. */
+    KindLoad sampleKind(UniformRandomProvider random) {
+        double remaining = random.nextDouble();
         for (KindLoad kind : kinds) {
-            at -= kind.share();
-            if (at < 0) {
+            remaining -= kind.share();
+            if (remaining < 0) {
                 return kind;
             }
         }
         return kinds.getLast();
     }
 
-    /** Draws an output length in tokens; 0 for plain services. */
-    int length(KindLoad kind, UniformRandomProvider random) {
-        if (!kind.engine()) {
+    /** Samples an output length, in tokens; 0 for kinds that run on services. */
+    int sampleLength(KindLoad kind, UniformRandomProvider random) {
+        if (!kind.runsOnEngine()) {
             return 0;
         }
         double length;
         if (random.nextDouble() < kind.tailShare()) {
-            length = InverseTransformParetoSampler.of(random, TAIL_START * kind.median(), TAIL_EXPONENT)
+            length = InverseTransformParetoSampler.of(random, TAIL_START_MEDIANS * kind.medianLength(), TAIL_EXPONENT)
                     .sample();
         } else {
             length = LogNormalSampler.of(
-                            ZigguratSampler.NormalizedGaussian.of(random), Math.log(kind.median()), kind.sigma())
+                            ZigguratSampler.NormalizedGaussian.of(random), Math.log(kind.medianLength()), kind.sigma())
                     .sample();
         }
-        return (int) Math.clamp(Math.round(Math.min(length, kind.longest()) * lengthScale), 1, kind.longest());
+        return (int) Math.clamp(Math.round(Math.min(length, kind.maxLength()) * lengthScale), 1, kind.maxLength());
     }
 
     int prefixTokens(KindLoad kind) {
@@ -112,28 +112,28 @@
     }
 
     /**
-     * Returns the request rate that keeps engines just busy, over all kinds, in requests a second.
+     * Returns the request rate over all kinds that just saturates the engines, in requests a second.
      *
-     * <p>A running sequence holds its prompt and on average half of its output, weighted by the time it runs, so
-     * {@code resident = sum(length * (prompt + length / 2)) / sum(length)}. An engine runs {@code min(maxBatch,
-     * kvTokens / resident)} sequences. The lengths are sampled with seed 1.
+     * <p>A running sequence holds its prompt and, on average, half of its output in memory. Weighted by running time,
+     * this is {@code resident = sum(length * (prompt + length / 2)) / sum(length)} tokens a sequence. An engine runs
+     * {@code min(maxBatch, kvTokens / resident)} sequences at a time. The lengths are sampled with seed 1.
      */
-    public double capacity(EngineOptions engine, int engines) {
+    public double capacity(EngineOptions engine, int engineCount) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(1L);
-        double lengths = 0;
-        double prompts = 0;
-        double held = 0;
-        for (int i = 0; i < SAMPLES; i++) {
-            KindLoad kind = kind(random);
-            double length = length(kind, random);
-            double prompt = kind.engine() ? prefixTokens(kind) : 0;
-            lengths += length;
-            prompts += prompt;
-            held += length * (prompt + length / 2);
+        double totalLength = 0;
+        double totalPrompt = 0;
+        double weightedResident = 0;
+        for (int i = 0; i < CAPACITY_SAMPLES; i++) {
+            KindLoad kind = sampleKind(random);
+            double length = sampleLength(kind, random);
+            double prompt = kind.runsOnEngine() ? prefixTokens(kind) : 0;
+            totalLength += length;
+            totalPrompt += prompt;
+            weightedResident += length * (prompt + length / 2);
         }
-        double batch = Math.min(engine.maxBatch(), engine.kvTokens() * lengths / held);
+        double batch = Math.min(engine.maxBatch(), engine.kvTokens() * totalLength / weightedResident);
         double stepMs = engine.stepBaseMs()
-                + batch * (engine.stepPerSequenceMs() + engine.prefillPerTokenMs() * prompts / lengths);
-        return engines * batch * 1_000 / stepMs / (lengths / SAMPLES);
+                + batch * (engine.stepPerSequenceMs() + engine.prefillPerTokenMs() * totalPrompt / totalLength);
+        return engineCount * batch * 1_000 / stepMs / (totalLength / CAPACITY_SAMPLES);
     }
 }
--- a/tools/src/test/java/org/verbenatally/load/LoadRunTest.java
+++ b/tools/src/test/java/org/verbenatally/load/LoadRunTest.java
@@ -17,9 +17,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The plan, the run and the results of a load experiment. */
+/** Tests the plan, the run and the results of a load experiment. */
 class LoadRunTest {
-    private static final Address NOWHERE = new Address("127.0.0.1", 1);
+    private static final Address UNUSED_ADDRESS = new Address("127.0.0.1", 1);
 
     private static LoadOptions options(
             String deployment, Address entry, List<Address> engines, String burst, double factor) {
@@ -41,16 +41,19 @@
                 false);
     }
 
-    /** A comparison with and without a burst is void if the burst changes the other organisations' requests. */
+    /**
+     * Runs with and without a burst can only be compared if the burst does not change the other organisations'
+     * requests.
+     */
     @Test
     void burstOfOneOrganisationLeavesTheOthersUnchanged() {
-        var calm = ArrivalPlan.of(options("abay", NOWHERE, List.of(), "org-1", 1));
-        var burst = ArrivalPlan.of(options("abay", NOWHERE, List.of(), "org-1", 5));
-        assertThat(burst.size()).isGreaterThan(calm.size());
-        assertThat(withoutFirst(burst)).isEqualTo(withoutFirst(calm));
+        var steady = ArrivalPlan.of(options("abay", UNUSED_ADDRESS, List.of(), "org-1", 1));
+        var burst = ArrivalPlan.of(options("abay", UNUSED_ADDRESS, List.of(), "org-1", 5));
+        assertThat(burst.size()).isGreaterThan(steady.size());
+        assertThat(withoutBurstOrganisation(burst)).isEqualTo(withoutBurstOrganisation(steady));
     }
 
-    private static List<Arrival> withoutFirst(List<Arrival> plan) {
+    private static List<Arrival> withoutBurstOrganisation(List<Arrival> plan) {
         return plan.stream()
                 .filter(a -> !a.request().organisation().equals("org-1"))
                 .toList();
@@ -59,8 +62,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"abay", "aarhus"})
     void measuresEveryPlannedRequestAndWritesTheFiles(String deployment, @TempDir Path out) throws Exception {
-        EngineOptions fast = OptionRecords.with(EngineOptions.defaults("e1"), Map.of("stepBaseMs", 1));
-        try (EngineStandin engine = new EngineStandin(fast)) {
+        EngineOptions engineOptions = OptionRecords.with(EngineOptions.defaults("e1"), Map.of("stepBaseMs", 1));
+        try (EngineStandin engine = new EngineStandin(engineOptions)) {
             Address target = new Address("127.0.0.1", engine.start());
             try (ScriptedEntry entry = new ScriptedEntry(List.of(target))) {
                 LoadOptions options = options(deployment, entry.start(), List.of(target), "", 1);
