--- a/tools/src/main/java/org/verbenatally/load/BenchMain.java
+++ b/tools/src/main/java/org/verbenatally/load/BenchMain.java
@@ -9,45 +9,45 @@
 import org.verbenatally.policy.PolicySuite;
 
 /**
- * Entry point of {@code bin/bench}: {@code decisions} measures the cost of a decision, {@code policies} compares
- * policies with processes on loopback, {@code trial} compares them in memory and virtual time.
+ * Entry point of {@code bin/bench}. {@code decisions} measures the cost of a routing decision, {@code policies}
+ * compares policies in processes on loopback, and {@code trial} compares policies in memory and in virtual time.
  */
 public final class BenchMain {
     private BenchMain() {}
 
-    /** Runs the benchmark that the first argument names; by default it compares the policies. */
+    /** Runs the benchmark named by the first argument; the default is {@code policies}. */
     public static void main(String[] args) throws Exception {
         new Program(
                         "bench",
                         "[policies|decisions|trial]",
-                        "Measures decisions and policies.",
+                        "Measures routing decisions and compares policies.",
                         options(),
                         BenchMain.class)
                 .start(args, BenchMain::run);
     }
 
     private static int run(CommandLine line) throws ParseException {
-        String command =
+        String benchmark =
                 line.getArgList().isEmpty() ? "policies" : line.getArgList().getFirst();
-        switch (command) {
+        switch (benchmark) {
             case "decisions" -> new DecisionBench(line.hasOption("quick")).run();
             case "policies" -> new PolicyBench(plan(line, 80)).run();
             case "trial" -> new TrialBench(plan(line, 600)).run();
-            default -> throw new ParseException("no benchmark is called " + command);
+            default -> throw new ParseException("unknown benchmark: " + benchmark);
         }
         return Program.OK;
     }
 
     private static Options options() {
         return new Options()
-                .addOption(null, "quick", false, "run a small part")
+                .addOption(null, "quick", false, "run a reduced set")
                 .addOption(null, "seed", true, "seed of all random choices; default: 1")
                 .addOption(null, "deployment", true, "abay or aarhus; default: aarhus")
-                .addOption(null, "entries", true, "entries in front of the engines")
-                .addOption(null, "loads", true, "parts of the capacity, separated by commas")
-                .addOption(null, "lags", true, "ages of reports in milliseconds, separated by commas")
-                .addOption(null, "seconds", true, "length of each run")
-                .addOption(null, "policies", true, "policies to compare, separated by commas; default: all");
+                .addOption(null, "entries", true, "number of entries in front of the engines")
+                .addOption(null, "loads", true, "offered loads as shares of capacity, comma-separated")
+                .addOption(null, "lags", true, "lags of the load reports in milliseconds, comma-separated")
+                .addOption(null, "seconds", true, "time during which requests arrive in each run, in seconds")
+                .addOption(null, "policies", true, "policies to compare, comma-separated; default: all");
     }
 
     private static BenchPlan plan(CommandLine line, int seconds) {
--- a/tools/src/main/java/org/verbenatally/load/BenchPlan.java
+++ b/tools/src/main/java/org/verbenatally/load/BenchPlan.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a comparison of policies runs.
+ * Parameters of a comparison of policies.
  *
- * @param deployment whose workload is offered
- * @param entries entry instances
+ * @param deployment name of the deployment whose workload is offered
+ * @param entries number of entry instances
  * @param loads offered loads as shares of capacity
  * @param lags lags of the load reports, in milliseconds
- * @param seconds length of the arrivals of one run, in seconds
- * @param seed seed of the arrivals; the same for all policies
- * @param policies names of the suites
+ * @param seconds time during which requests arrive in one run, in seconds
+ * @param seed seed of the arrivals, which is the same for all policies
+ * @param policies names of the policy suites
  */
 record BenchPlan(
         String deployment,
--- a/tools/src/main/java/org/verbenatally/load/BenchPlatform.java
+++ b/tools/src/main/java/org/verbenatally/load/BenchPlatform.java
@@ -12,14 +12,17 @@
 import io.vertx.core.http.HttpServerResponse;
 import org.verbenatally.core.Address;
 
-/** A platform for {@link PeerBench}: one document with long polls, an empty instance list, and a count of reads. */
+/**
+ * A minimal platform for {@link PeerBench}. Serves one configuration document with long polling and an empty list of
+ * instances, and counts the reads.
+ */
 final class BenchPlatform {
     private static final int NOT_MODIFIED = 304;
 
     private final Vertx vertx;
     private final HttpServer server;
     private final AtomicLong reads = new AtomicLong();
-    private final Map<HttpServerResponse, Long> waiting = new ConcurrentHashMap<>();
+    private final Map<HttpServerResponse, Long> longPolls = new ConcurrentHashMap<>();
     private volatile long version;
     private volatile byte[] document = new byte[0];
 
@@ -40,7 +43,7 @@
     void publish(long newVersion, byte[] body) {
         document = body;
         version = newVersion;
-        waiting.keySet().forEach(this::answer);
+        longPolls.keySet().forEach(this::sendDocument);
     }
 
     private void handle(HttpServerRequest request) {
@@ -52,25 +55,25 @@
         }
         long after = Long.parseLong(request.getParam("after", "0"));
         long wait = Long.parseLong(request.getParam("waitMs", "0"));
-        waiting.put(response, after);
-        response.closeHandler(v -> waiting.remove(response));
+        longPolls.put(response, after);
+        response.closeHandler(v -> longPolls.remove(response));
         if (version > after) {
-            answer(response);
+            sendDocument(response);
         } else if (wait == 0) {
-            end(response);
+            sendNotModified(response);
         } else {
-            vertx.setTimer(wait, t -> end(response));
+            vertx.setTimer(wait, t -> sendNotModified(response));
         }
     }
 
-    private void answer(HttpServerResponse response) {
-        if (waiting.remove(response) != null) {
+    private void sendDocument(HttpServerResponse response) {
+        if (longPolls.remove(response) != null) {
             response.putHeader("Config-Version", Long.toString(version)).end(Buffer.buffer(document));
         }
     }
 
-    private void end(HttpServerResponse response) {
-        if (waiting.remove(response) != null) {
+    private void sendNotModified(HttpServerResponse response) {
+        if (longPolls.remove(response) != null) {
             response.setStatusCode(NOT_MODIFIED).end();
         }
     }
--- a/tools/src/main/java/org/verbenatally/load/BenchTable.java
+++ b/tools/src/main/java/org/verbenatally/load/BenchTable.java
@@ -11,23 +11,22 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.policy.PolicySuite;
 
-/** The rows of a comparison of policies, and the ratios of the default policy to the best baseline. */
+/** Results of a comparison of policies, with the ratios of the default policy to the best baseline. */
 final class BenchTable {
     private static final String FORMAT = "%-30s %5s %6s %10s %11s %8s %8s %10s %8s %8s %8s%n";
 
     /**
-     * One run.
-     *
-     * @param policy name of the suite
+     * Result of one run.
+     * @param policy name of the policy suite
      * @param load offered load as a share of capacity
      * @param lagMs lag of the load reports, in milliseconds
-     * @param stallSeconds stall time of all streams, in seconds
-     * @param preemptions preemptions over all engines
+     * @param stallSeconds total stall time of all streams, in seconds
+     * @param preemptions number of preemptions on all engines
      * @param gap99Ms 99th percentile of the time between two tokens, in milliseconds
-     * @param goodput tokens a second of completed answers
-     * @param refused requests refused
-     * @param urgentMet share of urgent streams within the levels; negative if there were none
-     * @param urgentFirst95Ms 95th percentile of the urgent first token, in milliseconds
+     * @param goodput tokens of completed responses, in tokens a second
+     * @param refused number of rejected requests
+     * @param urgentMet share of urgent streams within the latency levels; negative if there were none
+     * @param urgentFirst95Ms 95th percentile of the time to the first token of urgent streams, in milliseconds
      */
     record Row(
             String policy,
@@ -84,7 +83,7 @@
             group.stream()
                     .filter(r -> r.policy().equals(PolicySuite.DEFAULT))
                     .findFirst()
-                    .ifPresent(own -> ratios.add(ratios(own, group)));
+                    .ifPresent(defaultRow -> ratios.add(ratios(defaultRow, group)));
         }
         ratios.forEach(r -> System.out.println("ratio to best baseline: " + r));
         JsonArray all = new JsonArray();
@@ -100,10 +99,10 @@
         List<List<Row>> groups = new ArrayList<>();
         rows.sort(Comparator.comparingDouble(Row::load).thenComparingLong(Row::lagMs));
         for (Row row : rows) {
-            boolean next = groups.isEmpty()
+            boolean newGroup = groups.isEmpty()
                     || groups.getLast().getFirst().load() != row.load()
                     || groups.getLast().getFirst().lagMs() != row.lagMs();
-            if (next) {
+            if (newGroup) {
                 groups.add(new ArrayList<>());
             }
             groups.getLast().add(row);
@@ -131,23 +130,26 @@
         return String.format(Locale.ROOT, format, value);
     }
 
-    /** Divides each figure by the best of the baselines; candidates that use this system's estimates are left out. */
-    private static JsonObject ratios(Row own, List<Row> group) {
+    /**
+     * Returns each metric of the default policy divided by that of the best baseline. Candidates, which use this
+     * system's estimates, are not baselines.
+     */
+    private static JsonObject ratios(Row defaultRow, List<Row> group) {
         List<Row> baselines = group.stream()
                 .filter(r -> !r.policy().equals(PolicySuite.DEFAULT) && !PolicySuite.isCandidate(r.policy()))
                 .toList();
         return new JsonObject()
-                .put("load", own.load())
-                .put("lagMs", own.lagMs())
-                .put("stall", ratio(own, baselines, Row::stallSeconds, 1))
-                .put("preemptions", ratio(own, baselines, r -> r.preemptions(), 1))
-                .put("gap99", ratio(own, baselines, Row::gap99Ms, 1))
-                .put("goodput", ratio(own, baselines, Row::goodput, -1));
+                .put("load", defaultRow.load())
+                .put("lagMs", defaultRow.lagMs())
+                .put("stall", ratio(defaultRow, baselines, Row::stallSeconds, 1))
+                .put("preemptions", ratio(defaultRow, baselines, r -> r.preemptions(), 1))
+                .put("gap99", ratio(defaultRow, baselines, Row::gap99Ms, 1))
+                .put("goodput", ratio(defaultRow, baselines, Row::goodput, -1));
     }
 
-    private static Double ratio(Row own, List<Row> others, ToDoubleFunction<Row> figure, int sign) {
-        Optional<Row> best = others.stream().min(Comparator.comparingDouble(r -> sign * figure.applyAsDouble(r)));
-        double against = best.map(figure::applyAsDouble).orElse(0.0);
-        return against == 0 ? null : Math.round(1000 * figure.applyAsDouble(own) / against) / 1000.0;
+    private static Double ratio(Row defaultRow, List<Row> baselines, ToDoubleFunction<Row> metric, int sign) {
+        Optional<Row> best = baselines.stream().min(Comparator.comparingDouble(r -> sign * metric.applyAsDouble(r)));
+        double bestValue = best.map(metric::applyAsDouble).orElse(0.0);
+        return bestValue == 0 ? null : Math.round(1000 * metric.applyAsDouble(defaultRow) / bestValue) / 1000.0;
     }
 }
--- a/tools/src/main/java/org/verbenatally/load/DecisionBench.java
+++ b/tools/src/main/java/org/verbenatally/load/DecisionBench.java
@@ -36,11 +36,14 @@
 import org.verbenatally.policy.WorkRequest;
 import org.verbenatally.wire.TargetLoad;
 
-/** Measures the time of a decision and the memory of a target at growing numbers of targets and organisations. */
+/**
+ * Measures the time of a routing decision and the memory of a target with increasing numbers of targets and
+ * organisations.
+ */
 final class DecisionBench {
-    private static final int[] TARGETS = {11, 110, 1_100, 4_100};
-    private static final int[] ORGANISATIONS = {10, 100, 1_000, 6_200};
-    private static final int OPEN = 600;
+    private static final int[] TARGET_COUNTS = {11, 110, 1_100, 4_100};
+    private static final int[] ORGANISATION_COUNTS = {10, 100, 1_000, 6_200};
+    private static final int OPEN_REQUESTS = 600;
     private static final ModelName MODEL = new ModelName("m");
     private static final FailureDomain DOMAIN = new FailureDomain("d");
 
@@ -52,16 +55,16 @@
     }
 
     void run() {
-        measure(TARGETS[1], ORGANISATIONS[1]);
+        measure(TARGET_COUNTS[1], ORGANISATION_COUNTS[1]);
         rows.clear();
         System.out.printf("%8s %14s %16s %14s%n", "targets", "organisations", "ns a decision", "bytes a target");
-        for (int targets : TARGETS) {
-            measure(targets, ORGANISATIONS[0]);
+        for (int targets : TARGET_COUNTS) {
+            measure(targets, ORGANISATION_COUNTS[0]);
         }
-        for (int organisations : ORGANISATIONS) {
-            measure(TARGETS[1], organisations);
+        for (int organisations : ORGANISATION_COUNTS) {
+            measure(TARGET_COUNTS[1], organisations);
         }
-        measure(TARGETS[3], ORGANISATIONS[3]);
+        measure(TARGET_COUNTS[3], ORGANISATION_COUNTS[3]);
         System.out.println(
                 new JsonObject().put("decisions", decisions).put("rows", rows).encode());
     }
@@ -69,25 +72,26 @@
     private void measure(int targets, int organisations) {
         VirtualTime time = new VirtualTime();
         Deployment deployment = deployment(targets, organisations);
-        long before = usedBytes();
+        long usedBefore = usedBytes();
         TargetTable table = new TargetTable(time);
         try (Dispatcher dispatcher =
                 new Dispatcher(time, table, new SuspectTable(time), DOMAIN, PolicySuite.byName(PolicySuite.DEFAULT))) {
             dispatcher.configure(deployment);
-            fill(time, table, deployment);
-            // In small tables, other garbage outweighs the targets.
-            double bytes = targets < 1_000 ? Double.NaN : (usedBytes() - before) / (double) targets;
-            double nanos = decide(time, dispatcher, deployment);
-            System.out.printf(Locale.ROOT, "%8d %14d %16.0f %14.0f%n", targets, organisations, nanos, bytes);
+            reportLoads(time, table, deployment);
+            // In small tables, unrelated garbage outweighs the memory of the targets.
+            double bytesPerTarget = targets < 1_000 ? Double.NaN : (usedBytes() - usedBefore) / (double) targets;
+            double decisionNanos = nanosPerDecision(time, dispatcher, deployment);
+            System.out.printf(
+                    Locale.ROOT, "%8d %14d %16.0f %14.0f%n", targets, organisations, decisionNanos, bytesPerTarget);
             rows.add(new JsonObject()
                     .put("targets", targets)
                     .put("organisations", organisations)
-                    .put("nanosADecision", Math.round(nanos))
-                    .put("bytesATarget", Double.isNaN(bytes) ? null : Math.round(bytes)));
+                    .put("nanosADecision", Math.round(decisionNanos))
+                    .put("bytesATarget", Double.isNaN(bytesPerTarget) ? null : Math.round(bytesPerTarget)));
         }
     }
 
-    private static void fill(VirtualTime time, TargetTable table, Deployment deployment) {
+    private static void reportLoads(VirtualTime time, TargetTable table, Deployment deployment) {
         List<TargetLoad> loads = new ArrayList<>();
         for (TargetId id : deployment.targets().keySet()) {
             loads.add(new TargetLoad(id.value(), 1, 500));
@@ -104,28 +108,29 @@
         }
     }
 
-    private double decide(VirtualTime time, Dispatcher dispatcher, Deployment deployment) {
+    private double nanosPerDecision(VirtualTime time, Dispatcher dispatcher, Deployment deployment) {
         List<Organisation> organisations =
                 List.copyOf(deployment.organisations().values());
         Kind kind = deployment.kinds().values().iterator().next();
-        Flight[] open = new Flight[OPEN];
+        Flight[] inFlight = new Flight[OPEN_REQUESTS];
         long start = 0;
-        // The first half warms up the compiler and fills the open requests.
+        // The first half warms up the JIT compiler and fills the slots of open requests.
         for (int i = 0; i < 2 * decisions; i++) {
             if (i == decisions) {
                 start = System.nanoTime();
             }
-            int slot = i % OPEN;
-            if (open[slot] != null) {
-                open[slot].token();
-                open[slot].end(FlightEnd.DONE);
+            int slot = i % OPEN_REQUESTS;
+            if (inFlight[slot] != null) {
+                inFlight[slot].token();
+                inFlight[slot].end(FlightEnd.DONE);
             }
-            Organisation owner = organisations.get(i % organisations.size());
+            Organisation organisation = organisations.get(i % organisations.size());
             long deadline = time.nanos() + 60_000_000_000L;
-            WorkRequest request = new WorkRequest(kind, owner, 300, i % 512, new Fingerprint(i, i), deadline, Set.of());
-            open[slot] = dispatcher.acquire(request).getNow(null);
+            WorkRequest request =
+                    new WorkRequest(kind, organisation, 300, i % 512, new Fingerprint(i, i), deadline, Set.of());
+            inFlight[slot] = dispatcher.acquire(request).getNow(null);
             if (i % 100 == 0) {
-                // 40 requests a second arrive at an entry of the target size.
+                // 40 requests a second arrive at an entry in a deployment of the intended size.
                 time.runUntil(time.nanos() + 100_000_000);
             }
         }
--- a/tools/src/main/java/org/verbenatally/load/PeerBench.java
+++ b/tools/src/main/java/org/verbenatally/load/PeerBench.java
@@ -46,53 +46,62 @@
 /**
  * Measures membership, state exchange and configuration dissemination with many members in one process over loopback.
  * Per member it prints CPU as a share of a core, bytes a second in both directions without TCP and IP headers, heap,
- * and the time in which a new configuration version is in force everywhere.
+ * and the time until a new configuration version is in force everywhere.
  */
 public final class PeerBench {
     private static final String DEPLOYMENT = "bench";
-    private static final int PUBLISHED = 3;
-    private static final int FLEET = 330;
-    private static final int TARGETS = 4_100;
+    private static final int PUBLISHED_VERSIONS = 3;
+    private static final int FULL_FLEET_MEMBERS = 330;
+    private static final int FULL_FLEET_TARGETS = 4_100;
     private static final int REGIONS = 7;
-    private static final long BOUND_SECONDS = 120;
+    private static final long AWAIT_TIMEOUT_SECONDS = 120;
     private static final double KIB = 1024;
 
-    /** Most tokens that a member has at one target. */
-    private static final int MOST_TOKENS = 4_000;
+    /** Upper bound of the tokens that a member has in flight at one target. */
+    private static final int MAX_TOKENS_PER_TARGET = 4_000;
 
     private final int seconds;
     private final int warmUp;
     private final long seed;
-    private final int inUse;
+    private final int targetsInUse;
     private final int targets;
-    private final int changes;
+    private final int changesPerSecond;
     private final PrintStream out;
 
     private PeerBench(CommandLine args, PrintStream out) {
         seconds = Integer.parseInt(args.getOptionValue("seconds", "12"));
         warmUp = Integer.parseInt(args.getOptionValue("warm-up", "10"));
         seed = Long.parseLong(args.getOptionValue("seed", "7"));
-        inUse = Integer.parseInt(args.getOptionValue("in-use", "400"));
-        targets = Integer.parseInt(args.getOptionValue("targets", String.valueOf(TARGETS)));
-        changes = Integer.parseInt(args.getOptionValue("changes", "0"));
+        targetsInUse = Integer.parseInt(args.getOptionValue("in-use", "400"));
+        targets = Integer.parseInt(args.getOptionValue("targets", String.valueOf(FULL_FLEET_TARGETS)));
+        changesPerSecond = Integer.parseInt(args.getOptionValue("changes", "0"));
         this.out = out;
     }
 
     /**
      * Runs the benchmark; {@code --help} lists the options.
      *
-     * @throws Exception if a fleet does not come together
+     * @throws Exception if not all members of a fleet are live in time
      */
     public static void main(String[] args) throws Exception {
         var options = new Options()
-                .addOption(null, "members", true, "fleet sizes, separated by commas (8,32,64,128,330)")
-                .addOption(null, "seconds", true, "length of each measurement (12)")
-                .addOption(null, "warm-up", true, "time before it (10)")
-                .addOption(null, "in-use", true, "targets that each member has requests on, at most (400)")
-                .addOption(null, "targets", true, "targets that members draw from (4100)")
-                .addOption(null, "changes", true, "changes of loads a second in the whole fleet (0)")
-                .addOption(null, "seed", true, "seed of the random choices (7)");
-        new Program("bench-peers", "", "Measures the cost of control by fleet size.", options, PeerBench.class)
+                .addOption(null, "members", true, "fleet sizes, comma-separated (default 8,32,64,128,330)")
+                .addOption(null, "seconds", true, "length of each measurement, in seconds (default 12)")
+                .addOption(null, "warm-up", true, "warm-up time before each measurement, in seconds (default 10)")
+                .addOption(
+                        null,
+                        "in-use",
+                        true,
+                        "maximum number of targets at which each member has requests (default 400)")
+                .addOption(null, "targets", true, "number of targets from which members choose (default 4100)")
+                .addOption(null, "changes", true, "load changes a second over all members (default 0)")
+                .addOption(null, "seed", true, "seed of all random choices (default 7)");
+        new Program(
+                        "bench-peers",
+                        "",
+                        "Measures the cost of the control plane by fleet size.",
+                        options,
+                        PeerBench.class)
                 .start(args, PeerBench::run);
     }
 
@@ -101,17 +110,17 @@
         log.setLevel(LogSettings.Level.ERROR);
         Logging.configure(log);
         var bench = new PeerBench(line, System.out);
-        bench.header();
+        bench.printHeader();
         for (String n : line.getOptionValue("members", "8,32,64,128,330").split(",")) {
             bench.run(Integer.parseInt(n));
         }
         return Program.OK;
     }
 
-    private void header() {
+    private void printHeader() {
         out.printf(
                 "seed %d, %d s after %d s, at most %d of %d targets in use per member, %d changes of loads a second%n",
-                seed, seconds, warmUp, inUse, targets, changes);
+                seed, seconds, warmUp, targetsInUse, targets, changesPerSecond);
         out.println(String.join(
                 " | ",
                 "members",
@@ -127,44 +136,44 @@
                 "one line changed"));
     }
 
-    /** A member that has requests in flight and receives what others have. */
+    /** A member that reports random in-flight load and receives that of the other members. */
     private static final class Member implements PeerHandler {
         private final ConfigHolder<Deployment> config = new ConfigHolder<>();
         private volatile List<TargetLoad> loads;
         private Peers<Deployment> peers;
 
-        Member(RandomGenerator random, int inUse, int targets) {
-            List<TargetLoad> drawn = new ArrayList<>();
-            for (int i = 0; i < inUse; i++) {
-                drawn.add(load(random, targets));
+        Member(RandomGenerator random, int targetsInUse, int targets) {
+            List<TargetLoad> initialLoads = new ArrayList<>();
+            for (int i = 0; i < targetsInUse; i++) {
+                initialLoads.add(randomLoad(random, targets));
             }
-            loads = drawn;
+            loads = initialLoads;
         }
 
-        private static TargetLoad load(RandomGenerator random, int targets) {
+        private static TargetLoad randomLoad(RandomGenerator random, int targets) {
             return new TargetLoad(
-                    "engine-" + random.nextInt(targets), 1 + random.nextInt(4), random.nextInt(MOST_TOKENS));
+                    "engine-" + random.nextInt(targets), 1 + random.nextInt(4), random.nextInt(MAX_TOKENS_PER_TARGET));
         }
 
-        /** Begins or ends a generation, so that one row of the load changes. */
+        /** Replaces one record of the load at random, as when generations start and end. */
         void changeLoad(RandomGenerator random, int targets) {
             List<TargetLoad> next = new ArrayList<>(loads);
             if (!next.isEmpty()) {
                 next.remove(random.nextInt(next.size()));
             }
-            next.add(load(random, targets));
+            next.add(randomLoad(random, targets));
             loads = next;
             peers.loadsChanged();
         }
 
         @Override
         public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
-            throw new UnsupportedOperationException("the benchmark forwards nothing");
+            throw new UnsupportedOperationException("the benchmark does not forward calls");
         }
 
         @Override
         public CompletableFuture<Void> onKeyTransfer(InstanceId from, KeyTransfer part) {
-            throw new UnsupportedOperationException("the benchmark transfers nothing");
+            throw new UnsupportedOperationException("the benchmark does not transfer keys");
         }
 
         @Override
@@ -174,7 +183,7 @@
 
         @Override
         public void onTargetLoads(InstanceId from, List<TargetLoad> loads) {
-            // The target table is measured with the entry.
+            // Ignored: the target table is measured with the entry.
         }
 
         @Override
@@ -184,7 +193,7 @@
 
         @Override
         public void onLeavingTargets(InstanceId from, Set<TargetId> targets) {
-            // As above.
+            // Ignored, as above.
         }
 
         @Override
@@ -194,12 +203,12 @@
 
         @Override
         public void onSuspects(InstanceId from, List<Suspect> suspects) {
-            // As above.
+            // Ignored, as above.
         }
 
         @Override
         public void onGone(InstanceId peer) {
-            // As above.
+            // Ignored, as above.
         }
 
         long version() {
@@ -213,8 +222,8 @@
         }
     }
 
-    /** Sums over all members and the process at one moment. */
-    private record Reading(long nanos, long cpu, long bytes, long config, long reads, long links) {}
+    /** Totals over all members and for the process at one point in time. */
+    private record Totals(long nanos, long cpuNanos, long bytes, long configBytes, long reads, long links) {}
 
     private void run(int n) throws Exception {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
@@ -240,82 +249,90 @@
     }
 
     private void changeLoads(List<Member> members, TimerService timers) {
-        if (changes == 0) {
+        if (changesPerSecond == 0) {
             return;
         }
         RandomGenerator random = RandomGeneratorFactory.of("Xoshiro256PlusPlus").create(seed);
         timers.every(
-                Duration.ofNanos(TimeUnit.SECONDS.toNanos(1) / changes),
+                Duration.ofNanos(TimeUnit.SECONDS.toNanos(1) / changesPerSecond),
                 tick -> members.get(random.nextInt(members.size())).changeLoad(random, targets));
     }
 
     private void measure(int n, List<Member> members, BenchPlatform platform, long heapBefore)
             throws InterruptedException {
-        Reading before = read(members, platform);
+        Totals before = totals(members, platform);
         TimeUnit.SECONDS.sleep(seconds);
-        Reading after = read(members, platform);
+        Totals after = totals(members, platform);
         double time = (after.nanos() - before.nanos()) / 1e9;
         double bytes = (after.bytes() - before.bytes()) / time / n;
-        long falsely = members.stream().mapToLong(m -> n - m.live()).sum();
+        long viewsNotLive = members.stream().mapToLong(m -> n - m.live()).sum();
         double heapIdle = (usedHeap() - heapBefore) / KIB / n;
-        Cost small = publish(2, PUBLISHED, 1, members, platform);
-        Cost whole = publish(2 + PUBLISHED, 1, n, members, platform);
-        Cost delta = publish(3 + PUBLISHED, PUBLISHED, n, members, platform);
+        Cost smallDocument = publish(2, PUBLISHED_VERSIONS, 1, members, platform);
+        Cost fullDocument = publish(2 + PUBLISHED_VERSIONS, 1, n, members, platform);
+        Cost delta = publish(3 + PUBLISHED_VERSIONS, PUBLISHED_VERSIONS, n, members, platform);
         out.printf(
                 Locale.ROOT,
                 "%7d | %5.1f | %.2f | %.0f | %.0f | %.0f | %.1f | %.0f | %s | %s | %s%s%n",
                 n,
                 (double) after.links() / n,
-                (after.cpu() - before.cpu()) / 1e9 / time / n * 100,
+                (after.cpuNanos() - before.cpuNanos()) / 1e9 / time / n * 100,
                 bytes,
                 heapIdle,
                 (usedHeap() - heapBefore) / KIB / n,
                 (after.reads() - before.reads()) / time,
-                document(2, targets(n), n).length / KIB,
-                small,
-                whole,
+                document(2, targetCount(n), n).length / KIB,
+                smallDocument,
+                fullDocument,
                 delta,
-                falsely == 0 ? "" : " | " + falsely + " views not live");
+                viewsNotLive == 0 ? "" : " | " + viewsNotLive + " views not live");
     }
 
-    /** What publishing costs: the slowest time, and per member and version the CPU and the bytes in and out. */
-    private record Cost(long everywhereMs, double cpuMs, double kib) {
+    /**
+     * Cost of publishing: the longest time until a version was in force everywhere, and the CPU time and the bytes in
+     * and out per member and version.
+     */
+    private record Cost(long propagationMs, double cpuMs, double kib) {
         @Override
         public String toString() {
-            return "%d ms, %.1f ms, %.1f KiB".formatted(everywhereMs, cpuMs, kib);
+            return "%d ms, %.1f ms, %.1f KiB".formatted(propagationMs, cpuMs, kib);
         }
     }
 
-    /** Publishes versions one after another, in the document size of a fleet of the given size. */
-    private static Cost publish(long first, int versions, int size, List<Member> members, BenchPlatform platform)
+    /** Publishes versions one after another, in a document as large as that of a fleet of the given size. */
+    private static Cost publish(
+            long firstVersion, int versions, int fleetSize, List<Member> members, BenchPlatform platform)
             throws InterruptedException {
-        Reading start = read(members, platform);
+        Totals start = totals(members, platform);
         long slowest = 0;
-        for (long version = first; version < first + versions; version++) {
-            byte[] body = document(version, size == 1 ? 1 : targets(size), size);
+        for (long version = firstVersion; version < firstVersion + versions; version++) {
+            byte[] body = document(version, fleetSize == 1 ? 1 : targetCount(fleetSize), fleetSize);
             long published = System.nanoTime();
             platform.publish(version, body);
             long expected = version;
             await("version " + version + " everywhere", () -> members.stream().allMatch(m -> m.version() == expected));
             slowest = Math.max(slowest, (System.nanoTime() - published) / 1_000_000);
         }
-        Reading end = read(members, platform);
+        Totals end = totals(members, platform);
         double n = (double) members.size() * versions;
-        // What one member sends another receives, so in and out together are twice what was sent.
-        return new Cost(slowest, (end.cpu() - start.cpu()) / 1e6 / n, 2 * (end.config() - start.config()) / KIB / n);
+        // Each byte that one member sends is received by another, so the sum of both directions is twice the bytes
+        // sent.
+        return new Cost(
+                slowest,
+                (end.cpuNanos() - start.cpuNanos()) / 1e6 / n,
+                2 * (end.configBytes() - start.configBytes()) / KIB / n);
     }
 
     private List<Member> start(int n, Vertx vertx, TimerService timers, Address platform) throws Exception {
         RandomGenerator random = RandomGeneratorFactory.of("Xoshiro256PlusPlus").create(seed);
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            var member = new Member(random, Math.min(inUse, targets(n)), targets);
+            var member = new Member(random, Math.min(targetsInUse, targetCount(n)), targets);
             List<Address> seeds =
                     members.stream().limit(3).map(m -> m.peers.address()).toList();
             var options = new PeerOptions(
                     new InstanceId("entry-" + i),
                     new FailureDomain("domain-" + i % 15),
-                    "region-" + i % (n >= FLEET / 3 ? REGIONS : 1),
+                    "region-" + i % (n >= FULL_FLEET_MEMBERS / 3 ? REGIONS : 1),
                     DEPLOYMENT,
                     "127.0.0.1",
                     0,
@@ -332,22 +349,22 @@
         return members;
     }
 
-    /** Returns the targets of a fleet of n members in the proportion of the target size. */
-    private static int targets(int n) {
-        return n * TARGETS / FLEET;
+    /** Returns the number of targets of a fleet of n members, in proportion to the full fleet. */
+    private static int targetCount(int n) {
+        return n * FULL_FLEET_TARGETS / FULL_FLEET_MEMBERS;
     }
 
-    private static Reading read(List<Member> members, BenchPlatform platform) {
+    private static Totals totals(List<Member> members, BenchPlatform platform) {
         var os = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
         long bytes = members.stream()
                 .map(m -> m.peers.stats())
                 .mapToLong(s -> s.bytesSent() + s.bytesReceived())
                 .sum();
         long links = members.stream().mapToLong(m -> m.peers.stats().links()).sum();
-        long config = members.stream()
+        long configBytes = members.stream()
                 .mapToLong(m -> m.peers.stats().configBytesSent())
                 .sum();
-        return new Reading(System.nanoTime(), os.getProcessCpuTime(), bytes, config, platform.reads(), links);
+        return new Totals(System.nanoTime(), os.getProcessCpuTime(), bytes, configBytes, platform.reads(), links);
     }
 
     private static long usedHeap() {
@@ -355,17 +372,20 @@
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
-    private static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(BOUND_SECONDS);
+    private static void await(String description, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_TIMEOUT_SECONDS);
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() - until > 0) {
-                throw new IllegalStateException(what + ": not within " + BOUND_SECONDS + " s");
+            if (System.nanoTime() - deadlineNanos > 0) {
+                throw new IllegalStateException(
+                        description + ": condition not met within " + AWAIT_TIMEOUT_SECONDS + " s");
             }
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
-    /** Returns a document in which one version differs from the next by its number and one organisation. */
+    /**
+     * Returns a configuration document; versions differ in their number and in which one organisation has the share 9.
+     */
     private static byte[] document(long version, int targets, int organisations) {
         var text = new StringBuilder("{\"deployment\":\"bench\",\"version\":" + version + ",\n\"entryCount\":330,"
                 + "\"kinds\":[{\"name\":\"guide\",\"runsOn\":\"engine\",\"model\":\"m1\",\"urgency\":\"patient\","
--- a/tools/src/main/java/org/verbenatally/load/PolicyBench.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyBench.java
@@ -9,8 +9,8 @@
 import org.verbenatally.standin.EngineOptions;
 
 /**
- * Compares policies with entry processes and engine stand-ins on loopback. Lengths and key-value memory are a quarter
- * of the real ones, so that a run of a minute reaches a steady state.
+ * Compares policies with entry processes and engine stand-ins on loopback. Output lengths and key-value memory are a
+ * quarter of the real ones, so that a run of one minute reaches a steady state.
  */
 final class PolicyBench {
     private static final double SCALE = 0.25;
@@ -26,8 +26,8 @@
 
     void run() {
         for (double load : plan.loads()) {
-            for (double lag : plan.lags()) {
-                plan.policies().forEach(policy -> run(policy, load, (long) lag));
+            for (double lagMs : plan.lags()) {
+                plan.policies().forEach(policy -> run(policy, load, (long) lagMs));
             }
         }
         table.print(new JsonObject()
@@ -39,15 +39,19 @@
                 .put("seed", plan.seed()));
     }
 
-    private void run(String policy, double load, long lag) {
+    private void run(String policy, double load, long lagMs) {
         EngineOptions defaults = EngineOptions.defaults("engine");
-        Map<String, String> engine = new HashMap<>();
-        engine.put("kvTokens", Integer.toString((int) (defaults.kvTokens() * SCALE)));
-        engine.put("prefixCacheTokens", Integer.toString((int) (defaults.prefixCacheTokens() * SCALE)));
-        engine.put("reportLagMs", Long.toString(lag));
+        Map<String, String> engineOverrides = new HashMap<>();
+        engineOverrides.put("kvTokens", Integer.toString((int) (defaults.kvTokens() * SCALE)));
+        engineOverrides.put("prefixCacheTokens", Integer.toString((int) (defaults.prefixCacheTokens() * SCALE)));
+        engineOverrides.put("reportLagMs", Long.toString(lagMs));
         Workload workload = Workload.of(plan.deployment(), SCALE);
         try (BenchCluster cluster = BenchCluster.start(
-                plan.deployment(), plan.entries(), plan.seed(), engine, Map.of(PolicySuite.PROPERTY, policy))) {
+                plan.deployment(),
+                plan.entries(),
+                plan.seed(),
+                engineOverrides,
+                Map.of(PolicySuite.PROPERTY, policy))) {
             EngineOptions scaled = defaults.with(Map.of("kvTokens", (int) (defaults.kvTokens() * SCALE)));
             double rate = load * workload.capacity(scaled, cluster.engines().size());
             LoadOptions options = new LoadOptions(
@@ -65,19 +69,19 @@
                     20,
                     "",
                     false);
-            add(policy, load, lag, new LoadRun(options).run().summary());
+            addRow(policy, load, lagMs, new LoadRun(options).run().summary());
         } catch (RuntimeException e) {
             System.err.println("bench: " + policy + " failed: " + e);
         }
     }
 
-    private void add(String policy, double load, long lag, JsonObject summary) {
+    private void addRow(String policy, double load, long lagMs, JsonObject summary) {
         JsonObject all = summary.getJsonObject("all");
         JsonObject urgent = summary.getJsonObject("byKind").getJsonObject("draft-lookup", new JsonObject());
         table.add(new BenchTable.Row(
                 policy,
                 load,
-                lag,
+                lagMs,
                 all.getDouble("stallSeconds"),
                 summary.getJsonObject("engines").getLong("preemptions"),
                 all.getJsonObject("tokenGapMs").getDouble("p99"),
--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -37,31 +37,31 @@
 import org.verbenatally.standin.SteppedEngine;
 
 /**
- * Compares policies in memory and in virtual time: real dispatchers, the engine stand-in's batching and memory model,
- * and nothing else of the system. Trial figures only; the real path is measured with processes.
+ * Runs one policy in memory and in virtual time. Uses the real dispatchers and the batching and memory model of the
+ * engine stand-in, and no other part of the system. Its figures are trial figures; {@link PolicyBench} measures the
+ * real request path in processes.
  */
 final class PolicyTrial {
-    private static final long MS = 1_000_000;
-    private static final long SECOND = 1000 * MS;
-    private static final Duration POLL = Duration.ofMillis(500);
-    private static final Duration GOSSIP = Duration.ofMillis(500);
-    private static final Duration SNAPSHOT = Duration.ofMillis(50);
+    private static final long NANOS_PER_MS = 1_000_000;
+    private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MS;
+    private static final Duration POLL_PERIOD = Duration.ofMillis(500);
+    private static final Duration GOSSIP_PERIOD = Duration.ofMillis(500);
+    private static final Duration SNAPSHOT_PERIOD = Duration.ofMillis(50);
     private static final ModelName MODEL = new ModelName("draft");
     private static final FailureDomain DOMAIN = new FailureDomain("aarhus");
 
     /**
-     * What to run.
-     *
-     * @param policy name of the suite
-     * @param entries entry instances
-     * @param engines engines
+     * Parameters of a trial.
+     * @param policy name of the policy suite
+     * @param entries number of entry instances
+     * @param engines number of engines
      * @param load offered load as a share of capacity
      * @param lagMs lag of the load reports, in milliseconds
-     * @param seconds measured time, after a quarter of it as warm-up
-     * @param seed seed of the arrivals; the same for all policies
-     * @param deployment whose workload is offered
+     * @param seconds measured time, in seconds; a warm-up of a quarter of this time precedes it
+     * @param seed seed of the arrivals, which is the same for all policies
+     * @param deployment name of the deployment whose workload is offered
      */
-    record Setting(
+    record Settings(
             String policy,
             int entries,
             int engines,
@@ -73,78 +73,78 @@
 
     private final class Engine {
         final TargetId id;
-        final SteppedEngine model;
-        final Map<SteppedEngine.Generation, Running> running = new HashMap<>();
+        final SteppedEngine simulation;
+        final Map<SteppedEngine.Generation, ActiveGeneration> running = new HashMap<>();
         final List<ReportedLoad> snapshots = new ArrayList<>();
         boolean stepping;
 
         Engine(TargetId id, EngineOptions options) {
             this.id = id;
-            this.model = new SteppedEngine(options);
+            this.simulation = new SteppedEngine(options);
         }
 
         void step() {
-            if (stepping || model.isIdle()) {
+            if (stepping || simulation.isIdle()) {
                 return;
             }
             stepping = true;
-            time.at(time.nanos() + (long) (model.beginStep() * MS), () -> {
+            time.schedule(time.nanos() + (long) (simulation.beginStep() * NANOS_PER_MS), () -> {
                 stepping = false;
-                model.endStep();
+                simulation.endStep();
                 List.copyOf(running.keySet()).forEach(this::deliver);
                 step();
             });
         }
 
         private void deliver(SteppedEngine.Generation generation) {
-            Running job = running.get(generation);
-            if (model.tokens(generation) > job.tokens) {
-                job.tokens++;
-                job.flight.token();
-                metrics.token(job.call);
+            ActiveGeneration active = running.get(generation);
+            if (simulation.tokens(generation) > active.tokens) {
+                active.tokens++;
+                active.inFlight.token();
+                metrics.onToken(active.trialRequest);
             }
             if (generation.isDone()) {
                 running.remove(generation);
-                metrics.done(job.call, job.tokens);
-                job.flight.end(FlightEnd.DONE);
+                metrics.onDone(active.trialRequest, active.tokens);
+                active.inFlight.end(FlightEnd.DONE);
             }
         }
 
-        void snapshot() {
+        void takeSnapshot() {
             snapshots.add(new ReportedLoad(
                     new Incarnation(1),
                     time.epochMillis(),
-                    model.running(),
-                    model.waiting(),
-                    model.usedTokens(),
+                    simulation.running(),
+                    simulation.waiting(),
+                    simulation.usedTokens(),
                     options.kvTokens(),
-                    model.preemptions(),
+                    simulation.preemptions(),
                     Set.of(MODEL),
                     false));
         }
 
         ReportedLoad report() {
-            while (snapshots.size() > 1 && snapshots.get(1).atMs() <= time.epochMillis() - setting.lagMs()) {
+            while (snapshots.size() > 1 && snapshots.get(1).atMs() <= time.epochMillis() - settings.lagMs()) {
                 snapshots.removeFirst();
             }
             return snapshots.getFirst();
         }
     }
 
-    private static final class Running {
-        final TrialMetrics.Call call;
-        final Flight flight;
+    private static final class ActiveGeneration {
+        final TrialMetrics.Request trialRequest;
+        final Flight inFlight;
         int tokens;
 
-        Running(TrialMetrics.Call call, Flight flight) {
-            this.call = call;
-            this.flight = flight;
+        ActiveGeneration(TrialMetrics.Request trialRequest, Flight inFlight) {
+            this.trialRequest = trialRequest;
+            this.inFlight = inFlight;
         }
     }
 
     private record Entry(InstanceId id, TargetTable table, Dispatcher dispatcher) {}
 
-    private final Setting setting;
+    private final Settings settings;
     private final EngineOptions options;
     private final VirtualTime time = new VirtualTime();
     private final TrialMetrics metrics;
@@ -153,15 +153,15 @@
     private final Deployment deployment;
     private final UniformRandomProvider random;
     private final Workload workload;
-    private long serial;
+    private long lastRequestNumber;
 
-    PolicyTrial(Setting setting, EngineOptions options) {
-        this.setting = setting;
+    PolicyTrial(Settings settings, EngineOptions options) {
+        this.settings = settings;
         this.options = options;
-        long warmUp = setting.seconds() * SECOND / 4;
-        this.metrics = new TrialMetrics(time, warmUp, warmUp + setting.seconds() * SECOND);
-        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(setting.seed());
-        this.workload = Workload.of(setting.deployment(), 1);
+        long warmUp = settings.seconds() * NANOS_PER_SECOND / 4;
+        this.metrics = new TrialMetrics(time, warmUp, warmUp + settings.seconds() * NANOS_PER_SECOND);
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(settings.seed());
+        this.workload = Workload.of(settings.deployment(), 1);
         this.deployment = deployment();
     }
 
@@ -195,7 +195,7 @@
                 .map(PolicyTrial::kind)
                 .forEach(k -> kinds.put(k.name(), k));
         Map<TargetId, Target> targets = new HashMap<>();
-        for (int i = 0; i < setting.engines(); i++) {
+        for (int i = 0; i < settings.engines(); i++) {
             TargetId id = new TargetId("engine-" + i);
             Target.LoadedModel model = new Target.LoadedModel(MODEL, "1", List.of());
             Address address = new Address("127.0.0.1", 1 + i);
@@ -206,7 +206,7 @@
         return new Deployment(
                 "aarhus",
                 new ConfigVersion(1),
-                setting.entries(),
+                settings.entries(),
                 new Deployment.Limits(1 << 20, 512),
                 new Deployment.Levels(480, 54, 0.95),
                 organisations,
@@ -217,29 +217,31 @@
 
     /** Runs the trial and returns what was measured. */
     TrialMetrics run() {
-        for (int i = 0; i < setting.entries(); i++) {
+        for (int i = 0; i < settings.entries(); i++) {
             TargetTable table = new TargetTable(time);
             SuspectTable suspects = new SuspectTable(time);
-            Dispatcher dispatcher = new Dispatcher(time, table, suspects, DOMAIN, PolicySuite.byName(setting.policy()));
+            Dispatcher dispatcher =
+                    new Dispatcher(time, table, suspects, DOMAIN, PolicySuite.byName(settings.policy()));
             dispatcher.configure(deployment);
             entries.add(new Entry(new InstanceId("entry-" + i), table, dispatcher));
         }
-        engines.values().forEach(Engine::snapshot);
-        time.every(SNAPSHOT, tick -> engines.values().forEach(Engine::snapshot));
-        // Entries start at different times, so their periods are not aligned.
+        engines.values().forEach(Engine::takeSnapshot);
+        time.every(SNAPSHOT_PERIOD, tick -> engines.values().forEach(Engine::takeSnapshot));
+        // Entries start at different times, so that their periods are not aligned.
         for (int i = 0; i < entries.size(); i++) {
             Entry entry = entries.get(i);
-            time.at(i * 61 * MS, () -> {
+            time.schedule(i * 61 * NANOS_PER_MS, () -> {
                 time.every(
-                        POLL,
+                        POLL_PERIOD,
                         tick -> engines.values().forEach(e -> entry.table().report(e.id, e.report())));
-                time.every(GOSSIP, tick -> gossip(entry));
+                time.every(GOSSIP_PERIOD, tick -> gossip(entry));
             });
         }
         scheduleArrival();
-        time.runUntil(metrics.end());
-        metrics.preemptions(
-                engines.values().stream().mapToLong(e -> e.model.preemptions()).sum());
+        time.runUntil(metrics.endNanos());
+        metrics.finish(engines.values().stream()
+                .mapToLong(e -> e.simulation.preemptions())
+                .sum());
         return metrics;
     }
 
@@ -249,55 +251,58 @@
     }
 
     private void scheduleArrival() {
-        // As in the load tool: twice the rate for 4 s in every 20 s.
-        double mean = workload.capacity(options, setting.engines()) * setting.load();
-        boolean bursting = time.nanos() / SECOND % 20 < 4;
+        // As in the load tool, the rate is doubled for 4 s in every 20 s.
+        double mean = workload.capacity(options, settings.engines()) * settings.load();
+        boolean bursting = time.nanos() / NANOS_PER_SECOND % 20 < 4;
         double rate = mean / 1.2 * (bursting ? 2 : 1);
         double gap = -Math.log(1 - random.nextDouble()) / rate;
-        time.at(time.nanos() + (long) (gap * SECOND), () -> {
-            arrive();
+        time.schedule(time.nanos() + (long) (gap * NANOS_PER_SECOND), () -> {
+            addRequest();
             scheduleArrival();
         });
     }
 
-    private void arrive() {
+    private void addRequest() {
         KindLoad load = workload.sampleKind(random);
         int length = workload.sampleLength(load, random);
-        double draw = random.nextDouble();
+        double organisationSample = random.nextDouble();
         Entry entry = entries.get(random.nextInt(entries.size()));
         if (!load.runsOnEngine()) {
             return;
         }
         Kind kind = deployment.kinds().get(new KindName(load.kind()));
-        int organisation = draw < 0.5 ? (int) (draw * 4) : 2 + (int) ((draw - 0.5) * 16);
-        Organisation owner = deployment.organisations().get(new OrganisationId("org-" + organisation));
-        long number = ++serial;
-        TrialMetrics.Call call = metrics.arrived(kind, organisation);
+        int organisationIndex =
+                organisationSample < 0.5 ? (int) (organisationSample * 4) : 2 + (int) ((organisationSample - 0.5) * 16);
+        Organisation requestOrganisation =
+                deployment.organisations().get(new OrganisationId("org-" + organisationIndex));
+        long requestNumber = ++lastRequestNumber;
+        TrialMetrics.Request trialRequest = metrics.onArrival(kind, organisationIndex);
         WorkRequest request = new WorkRequest(
                 kind,
-                owner,
+                requestOrganisation,
                 workload.prefixTokens(load),
                 0,
-                new Fingerprint(number, number),
+                new Fingerprint(requestNumber, requestNumber),
                 time.nanos() + kind.deadline().toNanos(),
                 Set.of());
-        entry.dispatcher().acquire(request).whenComplete((flight, failure) -> {
+        entry.dispatcher().acquire(request).whenComplete((inFlight, failure) -> {
             if (failure != null) {
-                metrics.refused(call);
+                metrics.onRejected(trialRequest);
             } else {
-                send(call, flight, load, length, number);
+                send(trialRequest, inFlight, load, length, requestNumber);
             }
         });
     }
 
-    private void send(TrialMetrics.Call call, Flight flight, KindLoad load, int length, long number) {
-        Engine engine = engines.get(flight.target());
-        String marker = "[len=" + length + "] " + number + " ";
+    private void send(
+            TrialMetrics.Request trialRequest, Flight inFlight, KindLoad load, int length, long requestNumber) {
+        Engine engine = engines.get(inFlight.target());
+        String marker = "[len=" + length + "] " + requestNumber + " ";
         String prompt = marker + "x".repeat(Math.max(0, 4 * workload.prefixTokens(load) - marker.length()));
-        int priority = call.isUrgent() ? 1 : 0;
-        time.at(time.nanos() + MS, () -> {
-            SteppedEngine.Generation generation = engine.model.add("org", prompt, priority, load.maxLength());
-            engine.running.put(generation, new Running(call, flight));
+        int priority = trialRequest.isUrgent() ? 1 : 0;
+        time.schedule(time.nanos() + NANOS_PER_MS, () -> {
+            SteppedEngine.Generation generation = engine.simulation.add("org", prompt, priority, load.maxLength());
+            engine.running.put(generation, new ActiveGeneration(trialRequest, inFlight));
             engine.step();
         });
     }
--- a/tools/src/main/java/org/verbenatally/load/SummaryComparison.java
+++ b/tools/src/main/java/org/verbenatally/load/SummaryComparison.java
@@ -15,7 +15,7 @@
      * first.
      *
      * @param first the baseline
-     * @param second what is compared with it
+     * @param second the summary to compare with the baseline
      */
     public static String table(JsonObject first, JsonObject second) {
         Map<String, Double> before = new TreeMap<>();
--- a/tools/src/main/java/org/verbenatally/load/TrialBench.java
+++ b/tools/src/main/java/org/verbenatally/load/TrialBench.java
@@ -3,7 +3,7 @@
 import io.vertx.core.json.JsonObject;
 import org.verbenatally.standin.EngineOptions;
 
-/** Compares policies with {@link PolicyTrial}: in memory, in virtual time, in parallel. */
+/** Compares policies by running {@link PolicyTrial} in memory and in virtual time, with the policies in parallel. */
 final class TrialBench {
     private static final int ENGINES = 8;
 
@@ -16,8 +16,8 @@
 
     void run() {
         for (double load : plan.loads()) {
-            for (double lag : plan.lags()) {
-                plan.policies().parallelStream().forEach(policy -> run(policy, load, (long) lag));
+            for (double lagMs : plan.lags()) {
+                plan.policies().parallelStream().forEach(policy -> run(policy, load, (long) lagMs));
             }
         }
         table.print(new JsonObject()
@@ -29,20 +29,20 @@
                 .put("seed", plan.seed()));
     }
 
-    private void run(String policy, double load, long lag) {
-        PolicyTrial.Setting setting = new PolicyTrial.Setting(
-                policy, plan.entries(), ENGINES, load, lag, plan.seconds(), plan.seed(), plan.deployment());
-        TrialMetrics metrics = new PolicyTrial(setting, EngineOptions.defaults("engine")).run();
+    private void run(String policy, double load, long lagMs) {
+        PolicyTrial.Settings settings = new PolicyTrial.Settings(
+                policy, plan.entries(), ENGINES, load, lagMs, plan.seconds(), plan.seed(), plan.deployment());
+        TrialMetrics metrics = new PolicyTrial(settings, EngineOptions.defaults("engine")).run();
         table.add(new BenchTable.Row(
                 policy,
                 load,
-                lag,
+                lagMs,
                 metrics.stallSeconds(),
                 metrics.preemptions(),
-                metrics.gapMs(99),
+                metrics.tokenGapMs(99),
                 metrics.goodput(),
-                metrics.refused(),
+                metrics.rejected(),
                 metrics.urgentMet(),
-                metrics.urgentFirstMs(95)));
+                metrics.urgentFirstTokenMs(95)));
     }
 }
--- a/tools/src/main/java/org/verbenatally/load/TrialMetrics.java
+++ b/tools/src/main/java/org/verbenatally/load/TrialMetrics.java
@@ -6,29 +6,32 @@
 import org.HdrHistogram.Histogram;
 import org.verbenatally.config.Kind;
 
-/** What a {@link PolicyTrial} measures, over the requests that arrive in the measured time. */
+/**
+ * Metrics of a {@link PolicyTrial}. First tokens, rejections and urgent requests are counted for requests that arrive
+ * in the measured time; token gaps and completions are counted if they occur in it.
+ */
 final class TrialMetrics {
     private static final long FIRST_TOKEN_NANOS = 480_000_000;
-    private static final long GAP_NANOS = 54_000_000;
-    private static final long LONGEST_MS = 3_600_000;
+    private static final long TOKEN_GAP_NANOS = 54_000_000;
+    private static final long MAX_LATENCY_MS = 3_600_000;
 
-    /** One request of a caller. */
-    static final class Call {
+    /** A request of a caller, with the state that its metrics need. */
+    static final class Request {
         final Kind kind;
-        final int organisation;
+        final int organisationIndex;
         final long arrivedNanos;
-        final boolean counts;
+        final boolean counted;
         long lastNanos;
         int tokens;
         int lateGaps;
-        boolean firstOnTime;
+        boolean firstTokenWithinLevel;
 
-        Call(Kind kind, int organisation, long now, boolean counts) {
+        Request(Kind kind, int organisationIndex, long now, boolean counted) {
             this.kind = kind;
-            this.organisation = organisation;
+            this.organisationIndex = organisationIndex;
             this.arrivedNanos = now;
             this.lastNanos = now;
-            this.counts = counts;
+            this.counted = counted;
         }
 
         boolean isUrgent() {
@@ -37,99 +40,100 @@
     }
 
     private final VirtualTime time;
-    private final long start;
-    private final long end;
-    private final Set<Call> open = new LinkedHashSet<>();
-    private final Histogram gaps = new Histogram(LONGEST_MS * 1000, 3);
-    private final Histogram urgentFirst = new Histogram(LONGEST_MS, 3);
-    private final Histogram patientFirst = new Histogram(LONGEST_MS, 3);
-    private final Histogram smallFirst = new Histogram(LONGEST_MS, 3);
+    private final long startNanos;
+    private final long endNanos;
+    private final Set<Request> openRequests = new LinkedHashSet<>();
+    private final Histogram tokenGaps = new Histogram(MAX_LATENCY_MS * 1000, 3);
+    private final Histogram urgentFirstToken = new Histogram(MAX_LATENCY_MS, 3);
+    private final Histogram patientFirstToken = new Histogram(MAX_LATENCY_MS, 3);
+    private final Histogram smallFirstToken = new Histogram(MAX_LATENCY_MS, 3);
     private double stallSeconds;
-    private double stallFirstSeconds;
+    private double firstTokenStallSeconds;
     private long doneTokens;
     private long done;
-    private long refused;
-    private long refusedUrgent;
-    private long urgent;
+    private long rejected;
+    private long rejectedUrgent;
+    private long urgentCount;
     private long urgentMet;
     private long preemptions;
 
-    TrialMetrics(VirtualTime time, long start, long end) {
+    TrialMetrics(VirtualTime time, long startNanos, long endNanos) {
         this.time = time;
-        this.start = start;
-        this.end = end;
+        this.startNanos = startNanos;
+        this.endNanos = endNanos;
     }
 
-    long end() {
-        return end;
+    long endNanos() {
+        return endNanos;
     }
 
-    Call arrived(Kind kind, int organisation) {
-        Call call = new Call(kind, organisation, time.nanos(), time.nanos() >= start);
-        open.add(call);
-        return call;
+    Request onArrival(Kind kind, int organisationIndex) {
+        Request request = new Request(kind, organisationIndex, time.nanos(), time.nanos() >= startNanos);
+        openRequests.add(request);
+        return request;
     }
 
-    void refused(Call call) {
-        open.remove(call);
-        if (call.counts) {
-            refused++;
-            if (call.isUrgent()) {
-                refusedUrgent++;
-                urgent++;
+    void onRejected(Request request) {
+        openRequests.remove(request);
+        if (request.counted) {
+            rejected++;
+            if (request.isUrgent()) {
+                rejectedUrgent++;
+                urgentCount++;
             }
         }
     }
 
-    void token(Call call) {
-        long gap = time.nanos() - call.lastNanos;
-        call.lastNanos = time.nanos();
-        call.tokens++;
-        if (call.kind.delivery() == Kind.Delivery.WHOLE) {
+    void onToken(Request request) {
+        long gap = time.nanos() - request.lastNanos;
+        request.lastNanos = time.nanos();
+        request.tokens++;
+        if (request.kind.delivery() == Kind.Delivery.WHOLE) {
             return;
         }
-        if (call.tokens == 1) {
-            first(call, gap);
-        } else if (time.nanos() >= start) {
-            gaps.recordValue(Math.min(LONGEST_MS * 1000, gap / 1000));
-            stallSeconds += Math.max(0, gap - GAP_NANOS) / 1e9;
-            call.lateGaps += gap > GAP_NANOS ? 1 : 0;
+        if (request.tokens == 1) {
+            onFirstToken(request, gap);
+        } else if (time.nanos() >= startNanos) {
+            tokenGaps.recordValue(Math.min(MAX_LATENCY_MS * 1000, gap / 1000));
+            stallSeconds += Math.max(0, gap - TOKEN_GAP_NANOS) / 1e9;
+            request.lateGaps += gap > TOKEN_GAP_NANOS ? 1 : 0;
         }
     }
 
-    private void first(Call call, long gap) {
-        call.firstOnTime = gap <= FIRST_TOKEN_NANOS;
-        if (!call.counts) {
+    private void onFirstToken(Request request, long gap) {
+        request.firstTokenWithinLevel = gap <= FIRST_TOKEN_NANOS;
+        if (!request.counted) {
             return;
         }
         double late = Math.max(0, gap - FIRST_TOKEN_NANOS) / 1e9;
         stallSeconds += late;
-        stallFirstSeconds += late;
-        (call.isUrgent() ? urgentFirst : patientFirst).recordValue(gap / 1_000_000);
-        if (call.organisation > 1) {
-            smallFirst.recordValue(gap / 1_000_000);
+        firstTokenStallSeconds += late;
+        (request.isUrgent() ? urgentFirstToken : patientFirstToken).recordValue(gap / 1_000_000);
+        if (request.organisationIndex > 1) {
+            smallFirstToken.recordValue(gap / 1_000_000);
         }
     }
 
-    void done(Call call, int tokens) {
-        open.remove(call);
-        if (time.nanos() >= start) {
+    void onDone(Request request, int tokens) {
+        openRequests.remove(request);
+        if (time.nanos() >= startNanos) {
             done++;
             doneTokens += tokens;
         }
-        if (call.counts && call.isUrgent()) {
-            urgent++;
-            urgentMet += call.firstOnTime && call.lateGaps <= 0.05 * tokens ? 1 : 0;
+        if (request.counted && request.isUrgent()) {
+            urgentCount++;
+            urgentMet += request.firstTokenWithinLevel && request.lateGaps <= 0.05 * tokens ? 1 : 0;
         }
     }
 
-    void preemptions(long total) {
-        preemptions = total;
-        for (Call call : open) {
-            long late = time.nanos() - call.lastNanos - (call.tokens == 0 ? FIRST_TOKEN_NANOS : GAP_NANOS);
-            if (call.counts && late > 0 && call.kind.delivery() == Kind.Delivery.STREAM) {
+    /** Ends the measurement: sets the number of preemptions and adds the stall time of requests that are still open. */
+    void finish(long totalPreemptions) {
+        preemptions = totalPreemptions;
+        for (Request request : openRequests) {
+            long late = time.nanos() - request.lastNanos - (request.tokens == 0 ? FIRST_TOKEN_NANOS : TOKEN_GAP_NANOS);
+            if (request.counted && late > 0 && request.kind.delivery() == Kind.Delivery.STREAM) {
                 stallSeconds += late / 1e9;
-                stallFirstSeconds += call.tokens == 0 ? late / 1e9 : 0;
+                firstTokenStallSeconds += request.tokens == 0 ? late / 1e9 : 0;
             }
         }
     }
@@ -138,47 +142,47 @@
         return stallSeconds;
     }
 
-    double stallFirstSeconds() {
-        return stallFirstSeconds;
+    double firstTokenStallSeconds() {
+        return firstTokenStallSeconds;
     }
 
     long preemptions() {
         return preemptions;
     }
 
-    double gapMs(double percentile) {
-        return gaps.getValueAtPercentile(percentile) / 1000.0;
+    double tokenGapMs(double percentile) {
+        return tokenGaps.getValueAtPercentile(percentile) / 1000.0;
     }
 
     double goodput() {
-        return doneTokens / ((end - start) / 1e9);
+        return doneTokens / ((endNanos - startNanos) / 1e9);
     }
 
     long done() {
         return done;
     }
 
-    long refused() {
-        return refused;
+    long rejected() {
+        return rejected;
     }
 
-    long refusedUrgent() {
-        return refusedUrgent;
+    long rejectedUrgent() {
+        return rejectedUrgent;
     }
 
     double urgentMet() {
-        return urgent == 0 ? 1 : urgentMet / (double) urgent;
+        return urgentCount == 0 ? 1 : urgentMet / (double) urgentCount;
     }
 
-    double urgentFirstMs(double percentile) {
-        return urgentFirst.getValueAtPercentile(percentile);
+    double urgentFirstTokenMs(double percentile) {
+        return urgentFirstToken.getValueAtPercentile(percentile);
     }
 
-    double patientFirstMs(double percentile) {
-        return patientFirst.getValueAtPercentile(percentile);
+    double patientFirstTokenMs(double percentile) {
+        return patientFirstToken.getValueAtPercentile(percentile);
     }
 
-    double smallFirstMs(double percentile) {
-        return smallFirst.getValueAtPercentile(percentile);
+    double smallFirstTokenMs(double percentile) {
+        return smallFirstToken.getValueAtPercentile(percentile);
     }
 }
--- a/tools/src/main/java/org/verbenatally/load/VirtualTime.java
+++ b/tools/src/main/java/org/verbenatally/load/VirtualTime.java
@@ -7,28 +7,31 @@
 
 import org.verbenatally.time.TimerService;
 
-/** A timer service whose time jumps to the next callback. Runs everything on the calling thread. */
+/**
+ * A timer service in virtual time, which advances to the next callback at once. Runs all callbacks on the calling
+ * thread.
+ */
 final class VirtualTime implements TimerService {
-    /** A callback at a time; equal times run in the order in which they were added. */
-    private record Event(long nanos, long serial, Runnable task) {}
+    /** A callback that is due at a time; callbacks due at the same time run in the order in which they were added. */
+    private record ScheduledTask(long nanos, long sequence, Runnable task) {}
 
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::nanos).thenComparingLong(Event::serial));
+    private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledTask::nanos).thenComparingLong(ScheduledTask::sequence));
     private long now;
-    private long serial;
+    private long sequence;
 
-    /** Runs all callbacks up to a time. */
+    /** Runs all callbacks due up to a time, in nanoseconds, and advances the clock to that time. */
     void runUntil(long nanos) {
-        while (!events.isEmpty() && events.peek().nanos() <= nanos) {
-            Event next = events.poll();
+        while (!queue.isEmpty() && queue.peek().nanos() <= nanos) {
+            ScheduledTask next = queue.poll();
             now = next.nanos();
             next.task().run();
         }
         now = nanos;
     }
 
-    void at(long nanos, Runnable task) {
-        events.add(new Event(Math.max(now, nanos), serial++, task));
+    void schedule(long nanos, Runnable task) {
+        queue.add(new ScheduledTask(Math.max(now, nanos), sequence++, task));
     }
 
     @Override
@@ -44,12 +47,12 @@
     @Override
     public Subscription every(Duration period, Consumer<Tick> task) {
         boolean[] cancelled = {false};
-        at(now + period.toNanos(), new Runnable() {
+        schedule(now + period.toNanos(), new Runnable() {
             @Override
             public void run() {
                 if (!cancelled[0]) {
                     task.accept(new Tick(now, Duration.ZERO));
-                    at(now + period.toNanos(), this);
+                    schedule(now + period.toNanos(), this);
                 }
             }
         });
@@ -59,7 +62,7 @@
     @Override
     public Subscription after(Duration delay, Runnable task) {
         boolean[] cancelled = {false};
-        at(now + delay.toNanos(), () -> {
+        schedule(now + delay.toNanos(), () -> {
             if (!cancelled[0]) {
                 task.run();
             }
@@ -79,6 +82,6 @@
 
     @Override
     public void close() {
-        events.clear();
+        queue.clear();
     }
 }
--- a/tools/src/main/java/org/verbenatally/load/package-info.java
+++ b/tools/src/main/java/org/verbenatally/load/package-info.java
@@ -1,2 +1,2 @@
-/** Callers of the system for load, experiments and checks, and what is measured with them. */
+/** Load generator and benchmarks: callers of the system, workloads and the measurements taken with them. */
 package org.verbenatally.load;
