--- a/tools/src/main/java/org/verbenatally/load/BenchMain.java
+++ b/tools/src/main/java/org/verbenatally/load/BenchMain.java
@@ -40,7 +40,7 @@
 
     private static Options options() {
         return new Options()
-                .addOption(null, "quick", false, "run a reduced set")
+                .addOption(null, "quick", false, "run a reduced set of measurements")
                 .addOption(null, "seed", true, "seed of all random choices; default: 1")
                 .addOption(null, "deployment", true, "abay or aarhus; default: aarhus")
                 .addOption(null, "entries", true, "number of entries in front of the engines")
--- a/tools/src/main/java/org/verbenatally/load/Call.java
+++ b/tools/src/main/java/org/verbenatally/load/Call.java
@@ -91,6 +91,7 @@
         return outcome;
     }
 
+    /** Requests an idempotency key from the entries in turn. Returns whether one was issued. */
     private boolean requestKey() throws InterruptedException {
         for (int attempt = 0; attempt < client.options().maxCopies() && remainingMs() > 0; attempt++) {
             Address entry = client.entry(entryIndex++);
@@ -310,6 +311,7 @@
                 new HistoryRecord.TokenSeen(System.currentTimeMillis(), id, record.generation(), offset, text));
     }
 
+    /** Reads a response to its end. Returns its status, or 0 if it did not arrive completely. */
     private int readToEnd(Exchange exchange, Buffer body, long timeoutMs) throws InterruptedException {
         if (exchange.next(timeoutMs) instanceof Part.Head head && readBody(exchange, body, timeoutMs)) {
             return head.status();
--- a/tools/src/main/java/org/verbenatally/load/CallRecord.java
+++ b/tools/src/main/java/org/verbenatally/load/CallRecord.java
@@ -6,7 +6,9 @@
 
 import org.verbenatally.core.Outcome;
 
-/** What a caller observed of one unit of work. Complete once the future that {@link CallerClient#send} returned is. */
+/**
+ * What a caller observed of one unit of work. Complete once the future returned by {@link CallerClient#send} completes.
+ */
 public final class CallRecord {
     /**
      * One exchange with an entry.
@@ -71,7 +73,7 @@
         return outcome;
     }
 
-    /** Returns the HTTP status of the last exchange; 0 if no response arrived. */
+    /** Returns the last HTTP status; 0 if no response to the last copy arrived. */
     public int status() {
         return status;
     }
--- a/tools/src/main/java/org/verbenatally/load/CallerOptions.java
+++ b/tools/src/main/java/org/verbenatally/load/CallerOptions.java
@@ -28,8 +28,8 @@
         long connectTimeoutMs) {
 
     /**
-     * Returns the default options: resume after 5 s without data, up to 4 copies and 8 resumes, no retry after {@code
-     * not-run}.
+     * Returns the default options: resume after 5 s without data, up to 4 copies and 8 resumes, and no retry after a
+     * response {@code not-run}.
      */
     public static CallerOptions defaults(List<Address> entries) {
         return new CallerOptions(entries, 5_000, 20_000, 4, 8, 0, 5_000, 2_000);
--- a/tools/src/main/java/org/verbenatally/load/EventReader.java
+++ b/tools/src/main/java/org/verbenatally/load/EventReader.java
@@ -60,7 +60,7 @@
             case "id" -> id = value;
             case "data" -> data.append(data.isEmpty() ? "" : "\n").append(value);
             default -> {
-                // Callers do not use other fields, such as retry.
+                // Other fields, such as retry, are not used.
             }
         }
     }
--- a/tools/src/main/java/org/verbenatally/load/Exchange.java
+++ b/tools/src/main/java/org/verbenatally/load/Exchange.java
@@ -38,8 +38,7 @@
     /** Sends a request; {@link #next} returns the parts of the response, or the failure. */
     Exchange(HttpClient client, RequestOptions options, Buffer body) {
         // The response handler is set on the event loop before the request is sent. If it were set from this thread,
-        // the
-        // first bytes could arrive before it and be lost.
+        // the first bytes could arrive before it and be lost.
         client.request(options).onComplete(opened -> send(opened, body), this::onFailure);
     }
 
--- a/tools/src/main/java/org/verbenatally/load/Measurements.java
+++ b/tools/src/main/java/org/verbenatally/load/Measurements.java
@@ -11,7 +11,7 @@
 
 /** Measurements of a group of requests. Times are measured from the intended send time. Not thread-safe. */
 final class Measurements {
-    /** Latency levels of the design: time to the first token, and time between tokens. */
+    /** Latency levels of the design, for the time to the first token and the time between two tokens. */
     static final long FIRST_TOKEN_NANOS = 480_000_000;
 
     static final long TOKEN_GAP_NANOS = 54_000_000;
--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -215,7 +215,7 @@
                 6);
     }
 
-    /** Runs the trial and returns what was measured. */
+    /** Runs the trial and returns its metrics. */
     TrialMetrics run() {
         for (int i = 0; i < settings.entries(); i++) {
             TargetTable table = new TargetTable(time);
--- a/tools/src/main/java/org/verbenatally/load/SummaryComparison.java
+++ b/tools/src/main/java/org/verbenatally/load/SummaryComparison.java
@@ -18,16 +18,16 @@
      * @param second the summary to compare with the baseline
      */
     public static String table(JsonObject first, JsonObject second) {
-        Map<String, Double> before = new TreeMap<>();
-        Map<String, Double> after = new TreeMap<>();
-        collect("", first, before);
-        collect("", second, after);
+        Map<String, Double> firstValues = new TreeMap<>();
+        Map<String, Double> secondValues = new TreeMap<>();
+        collect("", first, firstValues);
+        collect("", second, secondValues);
         StringBuilder table = new StringBuilder();
-        before.forEach((name, value) -> {
-            Double other = after.get(name);
-            if (other != null) {
-                String ratio = value == 0 ? "-" : String.format(Locale.ROOT, "%.3f", other / value);
-                table.append(String.format(Locale.ROOT, "%-60s %14.3f %14.3f %10s%n", name, value, other, ratio));
+        firstValues.forEach((name, value) -> {
+            Double secondValue = secondValues.get(name);
+            if (secondValue != null) {
+                String ratio = value == 0 ? "-" : String.format(Locale.ROOT, "%.3f", secondValue / value);
+                table.append(String.format(Locale.ROOT, "%-60s %14.3f %14.3f %10s%n", name, value, secondValue, ratio));
             }
         });
         return table.toString();
