--- a/core/src/main/java/org/verbenatally/core/Program.java
+++ b/core/src/main/java/org/verbenatally/core/Program.java
@@ -25,9 +25,9 @@
     /** Exit status after invalid arguments or settings. */
     public static final int USAGE = 2;
 
-    /** The work of a program after its arguments have been parsed. */
+    /** What a program does once its arguments have been parsed. */
     @FunctionalInterface
-    public interface Body {
+    public interface Action {
         /**
          * Runs the program.
          *
@@ -50,15 +50,15 @@
     }
 
     /** Runs a program whose other threads may outlive its main thread; exits the process only if the program failed. */
-    public void start(String[] args, Body body) throws Exception {
-        int status = run(args, body);
+    public void start(String[] args, Action action) throws Exception {
+        int status = run(args, action);
         if (status != OK) {
             System.exit(status);
         }
     }
 
     /** Parses the arguments and runs the program; returns the exit status. */
-    public int run(String[] args, Body body) throws Exception {
+    public int run(String[] args, Action action) throws Exception {
         try {
             CommandLine line = new DefaultParser().parse(options, args);
             if (line.hasOption("help")) {
@@ -70,7 +70,7 @@
                 System.out.println(name + " " + (version == null ? "development build" : version));
                 return OK;
             }
-            return body.run(line);
+            return action.run(line);
         } catch (ParseException | IllegalArgumentException e) {
             System.err.println(name + ": " + e.getMessage() + "; see --help");
             return USAGE;
