--- a/tools/src/main/java/org/verbenatally/history/History.java
+++ b/tools/src/main/java/org/verbenatally/history/History.java
@@ -18,7 +18,7 @@
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** A list of observations. Many threads may add to it; reading returns a copy taken at the call. */
+/** A thread-safe list of observations. Each read returns a snapshot. */
 public final class History {
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES);
@@ -52,31 +52,31 @@
         return records().stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    /** Returns the records of one type grouped by a property; records for which it is {@code null} are left out. */
-    <T extends HistoryRecord> Map<String, List<T>> by(Class<T> type, Function<T, String> property) {
+    /** Returns the records of one type grouped by a property, without those for which the property is {@code null}. */
+    <T extends HistoryRecord> Map<String, List<T>> groupBy(Class<T> type, Function<T, String> property) {
         return all(type).stream()
                 .filter(found -> property.apply(found) != null)
                 .collect(Collectors.groupingBy(property, LinkedHashMap::new, Collectors.toList()));
     }
 
     /**
-     * Writes the history as JSON lines.
+     * Writes the history to a file as JSON lines.
      *
      * @throws UncheckedIOException if the file cannot be written
      */
     public void write(Path file) {
         try (BufferedWriter out = Files.newBufferedWriter(file)) {
-            for (HistoryRecord each : records()) {
-                out.write(MAPPER.writerFor(HistoryRecord.class).writeValueAsString(each));
+            for (HistoryRecord observation : records()) {
+                out.write(MAPPER.writerFor(HistoryRecord.class).writeValueAsString(observation));
                 out.newLine();
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot write history " + file, e);
+            throw new UncheckedIOException("cannot write history file " + file, e);
         }
     }
 
     /**
-     * Reads a history that {@link #write} wrote.
+     * Reads a history from a file written by {@link #write}.
      *
      * @throws UncheckedIOException if the file cannot be read or a line is malformed
      */
@@ -85,7 +85,7 @@
         try (Stream<String> lines = Files.lines(file)) {
             lines.forEach(line -> history.add(parse(line)));
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot read history " + file, e);
+            throw new UncheckedIOException("cannot read history file " + file, e);
         }
         return history;
     }
@@ -94,7 +94,7 @@
         try {
             return MAPPER.readValue(line, HistoryRecord.class);
         } catch (JsonProcessingException e) {
-            throw new UncheckedIOException("malformed history line", e);
+            throw new UncheckedIOException("malformed line in history file", e);
         }
     }
 }
--- a/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
@@ -14,7 +14,7 @@
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 
-/** Checks a history against the invariants, one rule each. */
+/** Checks a history against the invariants; each {@link Rule} covers one of them. */
 public final class HistoryChecker {
     private final Map<Rule, Function<History, List<String>>> rules = new EnumMap<>(Rule.class);
 
@@ -29,7 +29,7 @@
         rules.put(Rule.STOP_IS_GRACEFUL, InstanceRules::stopIsGraceful);
     }
 
-    /** Applies all rules and counts the outcomes. */
+    /** Applies all rules and counts the outcomes of the requests. */
     public HistoryReport check(History history) {
         List<Violation> violations = new ArrayList<>();
         rules.forEach(
@@ -39,34 +39,34 @@
 
     private static HistoryReport.Counts count(History history) {
         List<Sent> sent = history.all(Sent.class);
-        Map<String, List<Answer>> answers = history.by(Answer.class, Answer::request);
-        Set<String> onceOnly =
+        Map<String, List<Answer>> answersByRequest = history.groupBy(Answer.class, Answer::request);
+        Set<String> nonRepeatable =
                 sent.stream().filter(each -> !each.repeatable()).map(Sent::work).collect(Collectors.toSet());
-        Set<String> ran = history.all(Run.class).stream().map(Run::work).collect(Collectors.toSet());
-        ran.retainAll(onceOnly);
-        Set<String> unclear = new HashSet<>(onceOnly);
+        Set<String> executed = history.all(Run.class).stream().map(Run::work).collect(Collectors.toSet());
+        executed.retainAll(nonRepeatable);
+        Set<String> unknown = new HashSet<>(nonRepeatable);
         sent.stream()
-                .filter(each -> answers.getOrDefault(each.request(), List.of()).stream()
+                .filter(each -> answersByRequest.getOrDefault(each.request(), List.of()).stream()
                         .anyMatch(answer -> answer.outcome() == Outcome.DONE || answer.outcome() == Outcome.NOT_RUN))
-                .forEach(each -> unclear.remove(each.work()));
+                .forEach(each -> unknown.remove(each.work()));
         return new HistoryReport.Counts(
                 sent.size(),
-                ended(sent, answers, Outcome.DONE),
-                ended(sent, answers, Outcome.NOT_RUN),
-                ended(sent, answers, Outcome.UNKNOWN),
-                ended(sent, answers, null),
+                countByOutcome(sent, answersByRequest, Outcome.DONE),
+                countByOutcome(sent, answersByRequest, Outcome.NOT_RUN),
+                countByOutcome(sent, answersByRequest, Outcome.UNKNOWN),
+                countByOutcome(sent, answersByRequest, null),
                 sent.stream()
-                        .filter(each -> !answers.containsKey(each.request()))
+                        .filter(each -> !answersByRequest.containsKey(each.request()))
                         .count(),
-                onceOnly.size(),
-                ran.size(),
-                unclear.size());
+                nonRepeatable.size(),
+                executed.size(),
+                unknown.size());
     }
 
-    private static long ended(List<Sent> sent, Map<String, List<Answer>> answers, Outcome outcome) {
+    private static long countByOutcome(List<Sent> sent, Map<String, List<Answer>> answersByRequest, Outcome outcome) {
         return sent.stream()
-                .filter(each -> answers.containsKey(each.request()))
-                .filter(each -> answers.get(each.request()).getLast().outcome() == outcome)
+                .filter(each -> answersByRequest.containsKey(each.request()))
+                .filter(each -> answersByRequest.get(each.request()).getLast().outcome() == outcome)
                 .count();
     }
 }
--- a/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 import org.verbenatally.core.Outcome;
 
-/** One observation of a run. Written as one JSON object a line, with its type in the member {@code record}. */
+/** One observation of a test run, written as one JSON object per line with its type in the member {@code record}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "record")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = HistoryRecord.Sent.class, name = "sent"),
@@ -22,20 +22,20 @@
 @JsonInclude(JsonInclude.Include.NON_NULL)
 public sealed interface HistoryRecord {
 
-    /** Returns when it happened, in wall clock milliseconds. */
+    /** Returns the time of the observation, in wall clock milliseconds. */
     long atMs();
 
     /**
-     * A caller sent one copy of a piece of work.
+     * A caller sent one copy of a work item.
      *
-     * @param atMs when
+     * @param atMs time of sending, in wall clock milliseconds
      * @param request id of this copy, unique in the history; resumes of its stream belong to the same copy
-     * @param work id of the piece of work, carried in the body; all copies of the same work share it
+     * @param work id of the work item, carried in the body and shared by all of its copies
      * @param kind kind of work
-     * @param repeatable whether a second run does no harm
-     * @param streamed whether the answer comes token by token
+     * @param repeatable whether running the work more than once is harmless
+     * @param streamed whether the response is streamed token by token
      * @param key idempotency key, or {@code null}
-     * @param entry instance to which the copy was sent
+     * @param entry id of the entry instance to which the copy was sent
      */
     record Sent(
             long atMs,
@@ -57,25 +57,25 @@
     /**
      * A caller received one token.
      *
-     * @param atMs when
-     * @param request the copy that it answers
-     * @param generation generation that the stream named
-     * @param offset offset that its event id named
-     * @param text its text
+     * @param atMs time of receipt, in wall clock milliseconds
+     * @param request id of the copy that the token belongs to
+     * @param generation id of the generation, as given by the stream
+     * @param offset position of the token in the generation, as given by the event id
+     * @param text text of the token
      */
     record TokenSeen(long atMs, String request, String generation, long offset, String text) implements HistoryRecord {}
 
     /**
-     * A caller received the end of an answer, or gave up on it.
+     * A caller received the end of a response, or stopped waiting for it.
      *
-     * @param atMs when
-     * @param request the copy that it answers
-     * @param outcome what the caller was told, or {@code null} if the connection ended without an answer
-     * @param status HTTP status, 0 if none arrived
+     * @param atMs time of that event, in wall clock milliseconds
+     * @param request id of the copy that the response belongs to
+     * @param outcome outcome reported to the caller, or {@code null} if the connection ended without a response
+     * @param status HTTP status, or 0 if none was received
      * @param type problem type, or {@code null}
-     * @param generation generation that the answer named, or {@code null}
-     * @param tokens number of tokens that the end of the stream named, or -1
-     * @param text body of a whole answer, or {@code null}
+     * @param generation id of the generation, as given by the response, or {@code null}
+     * @param tokens number of tokens reported at the end of the stream, or -1
+     * @param text body of a complete response, or {@code null}
      */
     record Answer(
             long atMs,
@@ -89,15 +89,15 @@
             implements HistoryRecord {}
 
     /**
-     * A target ran a piece of work.
+     * A target ran a work item.
      *
-     * @param atMs when the target started it
+     * @param atMs time when the target started the run, in wall clock milliseconds
      * @param target id of the target
      * @param run generation id or call id
-     * @param work id of the piece of work, as found in the body
-     * @param finished whether it ran to its end
+     * @param work id of the work item, as found in the body
+     * @param finished whether the run completed
      * @param tokens number of tokens generated; 0 for plain services
-     * @param text all text that it produced, or {@code null} if the target was lost with it
+     * @param text complete text that the run produced, or {@code null} if it was lost with the target
      */
     record Run(long atMs, String target, String run, String work, boolean finished, long tokens, String text)
             implements HistoryRecord {}
@@ -105,35 +105,36 @@
     /**
      * An entry reported the configuration version in force.
      *
-     * @param atMs when
+     * @param atMs time of the report, in wall clock milliseconds
      * @param instance id of the entry, the same across its restarts
      * @param version version of the document
-     * @param digest digest of the document, or the empty string if it was not reported
+     * @param digest digest of the document, or an empty string if it was not reported
      */
     record VersionSeen(long atMs, String instance, long version, String digest) implements HistoryRecord {}
 
     /**
      * A target was announced as leaving.
      *
-     * @param atMs when
+     * @param atMs time of the announcement, in wall clock milliseconds
      * @param target id of the target
      */
     record Leaving(long atMs, String target) implements HistoryRecord {}
 
     /**
-     * An entry was told to stop gracefully.
+     * An entry was asked to stop gracefully.
      *
-     * @param atMs when
+     * @param atMs time of the request to stop, in wall clock milliseconds
      * @param instance id of the entry
      */
     record Stop(long atMs, String instance) implements HistoryRecord {}
 
     /**
-     * A fault was injected. Requests that were open at a fault are not held against a planned stop.
+     * A fault was injected. Requests that were open at the time of a fault do not count as violations of a planned
+     * stop.
      *
-     * @param atMs when
+     * @param atMs time of the injection, in wall clock milliseconds
      * @param what short name of the fault
-     * @param subject process or link that it hit
+     * @param subject process or link affected by the fault
      */
     record Fault(long atMs, String what, String subject) implements HistoryRecord {}
 }
--- a/tools/src/main/java/org/verbenatally/history/HistoryReport.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryReport.java
@@ -4,9 +4,9 @@
 import java.util.Locale;
 
 /**
- * What the checker found in a history.
+ * Result of checking a history.
  *
- * @param violations contradictions to the invariants
+ * @param violations violations of the invariants
  * @param counts outcomes of the requests
  */
 public record HistoryReport(List<Violation> violations, Counts counts) {
@@ -15,14 +15,14 @@
      * Outcomes of the requests of a history.
      *
      * @param requests copies that callers sent
-     * @param done answered with {@code done}
-     * @param notRun answered with {@code not-run}
-     * @param unknown answered with {@code unknown}
-     * @param lost ended without an answer
-     * @param open without an end in the history
-     * @param onceOnly pieces of non-repeatable work that were sent
-     * @param onceOnlyRan pieces of non-repeatable work that ran
-     * @param onceOnlyUnknown pieces of non-repeatable work for which no caller learned the outcome
+     * @param done copies answered with {@code done}
+     * @param notRun copies answered with {@code not-run}
+     * @param unknown copies answered with {@code unknown}
+     * @param lost copies whose connection ended without a response
+     * @param open copies that were still open when the history ended
+     * @param onceOnly non-repeatable work items that were sent
+     * @param onceOnlyRan non-repeatable work items that ran
+     * @param onceOnlyUnknown non-repeatable work items whose outcome no caller was told
      */
     public record Counts(
             long requests,
@@ -35,7 +35,10 @@
             long onceOnlyRan,
             long onceOnlyUnknown) {
 
-        /** Returns the figures as {@code name=value} pairs, with both shares of the non-repeatable work. */
+        /**
+         * Returns the counts as {@code name=value} pairs. If non-repeatable work was sent, adds its count and the
+         * shares of it that ran and whose outcome is unknown.
+         */
         public String summary() {
             String outcomes = "requests=%d done=%d not-run=%d unknown=%d lost=%d open=%d"
                     .formatted(requests, done, notRun, unknown, lost, open);
@@ -52,18 +55,18 @@
         }
     }
 
-    /** Copies the violations. */
+    /** Copies the list of violations. */
     public HistoryReport {
         violations = List.copyOf(violations);
     }
 
-    /** Tells whether no rule was broken. */
+    /** Returns whether the history violates no rule. */
     public boolean held() {
         return violations.isEmpty();
     }
 
-    /** Returns how often a rule was broken. */
+    /** Returns the number of violations of a rule. */
     public long broken(Rule rule) {
-        return violations.stream().filter(each -> each.rule() == rule).count();
+        return violations.stream().filter(violation -> violation.rule() == rule).count();
     }
 }
--- a/tools/src/main/java/org/verbenatally/history/Rule.java
+++ b/tools/src/main/java/org/verbenatally/history/Rule.java
@@ -6,20 +6,20 @@
 public enum Rule {
     /** Tokens are delivered once, in order and from one generation. */
     TOKENS_ONCE,
-    /** Each answer belongs to its request and is whole. */
+    /** Each response is complete and belongs to its request. */
     ANSWERS_MATCH,
-    /** A request that was answered with {@code not-run} ran neither before nor later. */
+    /** A request that was answered with {@code not-run} ran neither before nor after that response. */
     NOT_RUN_HELD,
     /** Non-repeatable work ran at most once. */
     AT_MOST_ONCE,
-    /** A target that is leaving starts no new work once the bound has passed. */
+    /** A leaving target starts no new work once the permitted delay has passed. */
     LEAVING_RESTS,
-    /** The configuration version of an instance never falls, across its restarts too. */
+    /** The configuration version of an instance never decreases, not even across restarts. */
     CONFIG_MONOTONIC,
-    /** A planned stop cuts off no request. */
+    /** A planned stop does not cut off any request. */
     STOP_IS_GRACEFUL;
 
-    /** Returns the name as reports show it, for example {@code at-most-once}. */
+    /** Returns the name used in reports, for example {@code at-most-once}. */
     public String text() {
         return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
--- a/tools/src/main/java/org/verbenatally/history/RunRules.java
+++ b/tools/src/main/java/org/verbenatally/history/RunRules.java
@@ -14,69 +14,76 @@
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 
-/** Rules on what targets ran. */
+/** Rules on the work that targets ran. */
 final class RunRules {
-    /** Invariant 5 of the design: a target that is leaving receives no new work after this time. */
+    /**
+     * Time in milliseconds after the announcement that a target is leaving, after which the target must receive no new
+     * work (invariant 5 of the design).
+     */
     static final long LEAVING_BOUND_MS = 2_000;
 
     private RunRules() {}
 
     /**
-     * Reports runs of work that a caller was told had not run.
+     * Reports runs of work that was answered with {@code not-run}.
      *
-     * <p>A key has one outcome, so one {@code not-run} answer covers all copies with that key. Copies without a key are
-     * separate requests: a run must belong to a copy that was sent before it and was not answered with
-     * {@code not-run}.
+     * <p>A key has a single outcome, so one {@code not-run} response applies to all copies with that key. Copies
+     * without a key are separate requests: for each run there must be a copy that was sent before the run started and
+     * was not answered with {@code not-run}.
      */
     static List<String> notRunHeld(History history) {
-        List<String> found = new ArrayList<>();
-        Set<String> refused = history.all(Answer.class).stream()
+        List<String> violations = new ArrayList<>();
+        Set<String> notRunRequests = history.all(Answer.class).stream()
                 .filter(answer -> answer.outcome() == Outcome.NOT_RUN)
                 .map(Answer::request)
                 .collect(Collectors.toSet());
-        Map<String, List<Run>> runs = history.by(Run.class, Run::work);
-        history.by(Sent.class, Sent::work).forEach((work, copies) -> {
-            boolean keyed = copies.getFirst().key() != null;
+        Map<String, List<Run>> runs = history.groupBy(Run.class, Run::work);
+        history.groupBy(Sent.class, Sent::work).forEach((work, copies) -> {
+            boolean hasKey = copies.getFirst().key() != null;
             for (Run run : runs.getOrDefault(work, List.of())) {
-                boolean broken = keyed
-                        ? copies.stream().anyMatch(copy -> refused.contains(copy.request()))
+                boolean violated = hasKey
+                        ? copies.stream().anyMatch(copy -> notRunRequests.contains(copy.request()))
                         : copies.stream()
-                                .noneMatch(copy -> copy.atMs() <= run.atMs() && !refused.contains(copy.request()));
-                if (broken) {
-                    found.add("work %s was answered with not-run but ran on %s as %s"
+                                .noneMatch(
+                                        copy -> copy.atMs() <= run.atMs() && !notRunRequests.contains(copy.request()));
+                if (violated) {
+                    violations.add("work %s was answered with not-run but ran on %s as %s"
                             .formatted(work, run.target(), run.run()));
                 }
             }
         });
-        return found;
+        return violations;
     }
 
     /** Reports non-repeatable work that ran more than once. */
     static List<String> atMostOnce(History history) {
-        Set<String> onceOnly = new HashSet<>();
-        history.all(Sent.class).stream().filter(sent -> !sent.repeatable()).forEach(sent -> onceOnly.add(sent.work()));
-        List<String> found = new ArrayList<>();
-        history.by(Run.class, Run::work).forEach((work, runs) -> {
-            if (onceOnly.contains(work) && runs.size() > 1) {
-                found.add("work %s ran %d times, on %s"
+        Set<String> nonRepeatable = new HashSet<>();
+        history.all(Sent.class).stream()
+                .filter(sent -> !sent.repeatable())
+                .forEach(sent -> nonRepeatable.add(sent.work()));
+        List<String> violations = new ArrayList<>();
+        history.groupBy(Run.class, Run::work).forEach((work, runs) -> {
+            if (nonRepeatable.contains(work) && runs.size() > 1) {
+                violations.add("work %s ran %d times, on %s"
                         .formatted(
                                 work,
                                 runs.size(),
                                 runs.stream().map(Run::target).toList()));
             }
         });
-        return found;
+        return violations;
     }
 
-    /** Reports runs that a target started too long after it was announced as leaving. */
+    /** Reports runs that a target started more than {@link #LEAVING_BOUND_MS} after it was announced as leaving. */
     static List<String> leavingRests(History history) {
-        Map<String, Long> since = new HashMap<>();
-        history.all(Leaving.class).forEach(leaving -> since.merge(leaving.target(), leaving.atMs(), Math::min));
+        Map<String, Long> leavingSinceMs = new HashMap<>();
+        history.all(Leaving.class)
+                .forEach(leaving -> leavingSinceMs.merge(leaving.target(), leaving.atMs(), Math::min));
         return history.all(Run.class).stream()
-                .filter(run -> since.containsKey(run.target()))
-                .filter(run -> run.atMs() > since.get(run.target()) + LEAVING_BOUND_MS)
+                .filter(run -> leavingSinceMs.containsKey(run.target()))
+                .filter(run -> run.atMs() > leavingSinceMs.get(run.target()) + LEAVING_BOUND_MS)
                 .map(run -> "target %s started %s %d ms after it was announced as leaving"
-                        .formatted(run.target(), run.run(), run.atMs() - since.get(run.target())))
+                        .formatted(run.target(), run.run(), run.atMs() - leavingSinceMs.get(run.target())))
                 .toList();
     }
 }
--- a/tools/src/main/java/org/verbenatally/history/Violation.java
+++ b/tools/src/main/java/org/verbenatally/history/Violation.java
@@ -1,10 +1,10 @@
 package org.verbenatally.history;
 
 /**
- * A place where a history contradicts an invariant.
+ * A violation of an invariant, found in a history.
  *
- * @param rule the broken rule
- * @param detail the records that contradict it, in one sentence
+ * @param rule the violated rule
+ * @param detail one sentence that names the records concerned
  */
 public record Violation(Rule rule, String detail) {
     @Override
--- a/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
+++ b/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
@@ -25,7 +25,7 @@
 class HistoryCheckerTest {
     private static final HistoryRecord GUIDE = new Sent(1, "r1", "w1", "guide", true, true, null, "e1");
     private static final HistoryRecord GUIDE_RUN = new Run(2, "t1", "g1", "w1", true, 2, "ab");
-    // Without text, so that a wrong order of tokens breaks one rule only.
+    // Has no text, so that tokens out of order violate only one rule.
     private static final HistoryRecord RUN_WITHOUT_TEXT = new Run(2, "t1", "g1", "w1", false, 2, null);
     private static final HistoryRecord FIRST = token("r1", "g1", 0, "a");
     private static final HistoryRecord SECOND = token("r1", "g1", 1, "b");
@@ -48,89 +48,118 @@
 
     static Stream<Arguments> plantedAnswers() {
         return Stream.of(
-                plant("repeated token", Rule.TOKENS_ONCE, GUIDE, RUN_WITHOUT_TEXT, FIRST, FIRST),
-                plant("reordered tokens", Rule.TOKENS_ONCE, GUIDE, RUN_WITHOUT_TEXT, SECOND, FIRST),
-                plant("token gap", Rule.TOKENS_ONCE, GUIDE, RUN_WITHOUT_TEXT, FIRST, token("r1", "g1", 2, "c")),
-                plant("two generations", Rule.TOKENS_ONCE, GUIDE, RUN_WITHOUT_TEXT, FIRST, token("r1", "g2", 1, "b")),
-                plant("short stream", Rule.ANSWERS_MATCH, GUIDE, GUIDE_RUN, FIRST, GUIDE_DONE),
-                plant(
-                        "stream ended early",
+                violationCase("duplicate token", Rule.TOKENS_ONCE, GUIDE, RUN_WITHOUT_TEXT, FIRST, FIRST),
+                violationCase("tokens out of order", Rule.TOKENS_ONCE, GUIDE, RUN_WITHOUT_TEXT, SECOND, FIRST),
+                violationCase(
+                        "missing token", Rule.TOKENS_ONCE, GUIDE, RUN_WITHOUT_TEXT, FIRST, token("r1", "g1", 2, "c")),
+                violationCase(
+                        "tokens of two generations",
+                        Rule.TOKENS_ONCE,
+                        GUIDE,
+                        RUN_WITHOUT_TEXT,
+                        FIRST,
+                        token("r1", "g2", 1, "b")),
+                violationCase(
+                        "fewer tokens than the stream reported",
+                        Rule.ANSWERS_MATCH,
+                        GUIDE,
+                        GUIDE_RUN,
+                        FIRST,
+                        GUIDE_DONE),
+                violationCase(
+                        "stream shorter than its generation",
                         Rule.ANSWERS_MATCH,
                         GUIDE,
                         GUIDE_RUN,
                         FIRST,
                         end("r1", Outcome.DONE, 1, null)),
-                plant("foreign text", Rule.ANSWERS_MATCH, GUIDE, GUIDE_RUN, token("r1", "g1", 0, "z")),
-                plant("generation nobody ran", Rule.ANSWERS_MATCH, GUIDE, FIRST),
-                plant(
+                violationCase(
+                        "text differs from generation",
+                        Rule.ANSWERS_MATCH,
+                        GUIDE,
+                        GUIDE_RUN,
+                        token("r1", "g1", 0, "z")),
+                violationCase("generation that no target ran", Rule.ANSWERS_MATCH, GUIDE, FIRST),
+                violationCase(
                         "stream of other work",
                         Rule.ANSWERS_MATCH,
                         GUIDE,
                         new Run(2, "t1", "g1", "w9", true, 2, "ab"),
                         FIRST),
-                plant("crossed answer", Rule.ANSWERS_MATCH, BOOKING, BOOKING_RUN, end("r2", Outcome.DONE, -1, "ok w9")),
-                plant("answer without a run", Rule.ANSWERS_MATCH, BOOKING, BOOKING_DONE),
-                plant("two answers", Rule.ANSWERS_MATCH, BOOKING, BOOKING_RUN, BOOKING_DONE, BOOKING_DONE));
+                violationCase(
+                        "answer to other work",
+                        Rule.ANSWERS_MATCH,
+                        BOOKING,
+                        BOOKING_RUN,
+                        end("r2", Outcome.DONE, -1, "ok w9")),
+                violationCase("answer without a run", Rule.ANSWERS_MATCH, BOOKING, BOOKING_DONE),
+                violationCase("two answers", Rule.ANSWERS_MATCH, BOOKING, BOOKING_RUN, BOOKING_DONE, BOOKING_DONE));
     }
 
     static Stream<Arguments> plantedRuns() {
         return Stream.of(
-                plant("not-run ran", Rule.NOT_RUN_HELD, GUIDE, GUIDE_RUN, end("r1", Outcome.NOT_RUN, -1, null)),
-                plant(
-                        "copy of a key refused after a run",
+                violationCase(
+                        "work answered with not-run ran",
+                        Rule.NOT_RUN_HELD,
+                        GUIDE,
+                        GUIDE_RUN,
+                        end("r1", Outcome.NOT_RUN, -1, null)),
+                violationCase(
+                        "copy with the same key answered with not-run after a run",
                         Rule.NOT_RUN_HELD,
                         BOOKING,
                         BOOKING_RUN,
                         BOOKING_DONE,
                         new Sent(20, "r3", "w2", "order-booking", false, false, "k2", "e2"),
                         end("r3", Outcome.NOT_RUN, -1, null)),
-                plant("run before any copy", Rule.NOT_RUN_HELD, GUIDE, new Run(0, "t1", "g0", "w1", true, 2, "ab")),
-                plant(
-                        "booked twice",
+                violationCase(
+                        "run before any copy", Rule.NOT_RUN_HELD, GUIDE, new Run(0, "t1", "g0", "w1", true, 2, "ab")),
+                violationCase(
+                        "order booked twice",
                         Rule.AT_MOST_ONCE,
                         BOOKING,
                         BOOKING_RUN,
                         new Run(5, "s2", "c3", "w2", true, 0, "ok w2")),
-                plant(
+                violationCase(
                         "new work on a leaving target",
                         Rule.LEAVING_RESTS,
                         new Leaving(1, "t1"),
                         GUIDE,
                         new Run(2_002, "t1", "g1", "w1", true, 2, "ab")),
-                plant(
-                        "version fell across a restart",
+                violationCase(
+                        "version decreased across a restart",
                         Rule.CONFIG_MONOTONIC,
                         new VersionSeen(1, "e1", 5, "aa"),
                         new VersionSeen(2, "e1", 4, "bb")),
-                plant(
-                        "digest of the same version fell",
+                violationCase(
+                        "digest of the same version decreased",
                         Rule.CONFIG_MONOTONIC,
                         new VersionSeen(1, "e1", 5, "bb"),
                         new VersionSeen(2, "e1", 5, "aa")),
-                plant(
-                        "stream cut by a stop",
+                violationCase(
+                        "stream cut off by a stop",
                         Rule.STOP_IS_GRACEFUL,
                         GUIDE,
                         GUIDE_RUN,
                         new Stop(5, "e1"),
                         end("r1", null, -1, null)),
-                plant("request left open by a stop", Rule.STOP_IS_GRACEFUL, GUIDE, new Stop(5, "e1")));
+                violationCase("request left open by a stop", Rule.STOP_IS_GRACEFUL, GUIDE, new Stop(5, "e1")));
     }
 
-    private static Arguments plant(String name, Rule rule, HistoryRecord... records) {
+    private static Arguments violationCase(String name, Rule rule, HistoryRecord... records) {
         return Arguments.of(name, rule, history(records));
     }
 
-    /** Guards against a rule that passes the very violation it exists for. */
+    /** Guards against a rule that misses the violation that it is meant to report. */
     @ParameterizedTest(name = "{0}")
     @MethodSource({"plantedAnswers", "plantedRuns"})
     void reportsPlantedViolation(String name, Rule rule, History history) {
         HistoryReport report = new HistoryChecker().check(history);
         assertThat(report.broken(rule)).as(name).isPositive();
-        assertThat(report.violations()).allMatch(each -> each.rule() == rule);
+        assertThat(report.violations()).allMatch(violation -> violation.rule() == rule);
     }
 
-    private static History clean() {
+    private static History validHistory() {
         List<HistoryRecord> records = new ArrayList<>(
                 List.of(GUIDE, GUIDE_RUN, FIRST, SECOND, GUIDE_DONE, BOOKING, BOOKING_RUN, BOOKING_DONE));
         records.add(new Sent(1, "r3", "w3", "guide", true, false, null, "e2"));
@@ -144,29 +173,29 @@
         return history(records.toArray(HistoryRecord[]::new));
     }
 
-    /** Guards against rules that report work in order, and against wrong shares of the non-repeatable work. */
+    /** Guards against rules that report valid work, and against wrong shares of the non-repeatable work. */
     @Test
-    void passesCleanHistoryAndCountsOutcomes() {
-        HistoryReport report = new HistoryChecker().check(clean());
+    void acceptsValidHistoryAndCountsOutcomes() {
+        HistoryReport report = new HistoryChecker().check(validHistory());
         assertThat(report.violations()).isEmpty();
         assertThat(report.counts()).isEqualTo(new HistoryReport.Counts(4, 2, 1, 1, 0, 0, 2, 1, 1));
         assertThat(report.counts().summary()).contains("ran-share=0.500 unknown-share=0.500");
     }
 
-    /** Guards against blaming a planned stop for a request that a fault broke. */
+    /** Guards against attributing a request that failed because of a fault to a planned stop. */
     @Test
-    void excusesRequestOpenAtAFault() {
+    void ignoresRequestOpenAtAFault() {
         HistoryReport report = new HistoryChecker()
                 .check(history(GUIDE, new Stop(5, "e1"), new Fault(6, "kill", "t1"), end("r1", null, -1, null)));
         assertThat(report.violations()).isEmpty();
     }
 
-    /** Guards against records that are lost or changed on the way through a file. */
+    /** Guards against records that are lost or changed when written to a file and read back. */
     @Test
-    void readsWhatItWrote(@TempDir Path folder) {
-        History history = clean();
+    void readsWhatItWrote(@TempDir Path directory) {
+        History history = validHistory();
         history.add(new Fault(6, "kill", "t1"));
-        history.write(folder.resolve("history.jsonl"));
-        assertThat(History.read(folder.resolve("history.jsonl")).records()).isEqualTo(history.records());
+        history.write(directory.resolve("history.jsonl"));
+        assertThat(History.read(directory.resolve("history.jsonl")).records()).isEqualTo(history.records());
     }
 }
