--- a/tools/src/main/java/org/verbenatally/standin/Attachment.java
+++ b/tools/src/main/java/org/verbenatally/standin/Attachment.java
@@ -8,40 +8,40 @@
     final int number;
     private final HttpServerRequest request;
     private final Sequence sequence;
-    private long next;
+    private long nextOffset;
     private boolean ended;
 
-    /** Attaches a request from an offset on and sends the response head. */
+    /** Attaches a request to a sequence, starting at a token offset, and sends the response head. */
     Attachment(int number, HttpServerRequest request, Sequence sequence, long from) {
         this.number = number;
         this.request = request;
         this.sequence = sequence;
-        next = from;
+        nextOffset = from;
         request.response()
                 .setChunked(true)
                 .putHeader("Content-Type", "text/event-stream")
                 .putHeader("Cache-Control", "no-store")
                 .putHeader("Attachment", Integer.toString(number))
-                .drainHandler(ignored -> pump());
+                .drainHandler(ignored -> sendPending());
         request.response().write(": hb\n\n");
     }
 
-    /** Sends what is generated but not sent, as far as the connection takes it. */
-    void pump() {
+    /** Sends generated tokens that were not sent yet, until the write queue of the connection is full. */
+    void sendPending() {
         if (ended || request.response().closed()) {
             return;
         }
         StringBuilder events = new StringBuilder();
-        while (next < sequence.generated && !request.response().writeQueueFull()) {
-            for (int i = 0; i < 64 && next < sequence.generated; i++) {
-                events.append("id: ").append(next).append("\ndata: {\"t\":\"");
-                events.append(TokenText.of(sequence.id, next)).append("\"}\n\n");
-                next++;
+        while (nextOffset < sequence.generated && !request.response().writeQueueFull()) {
+            for (int i = 0; i < 64 && nextOffset < sequence.generated; i++) {
+                events.append("id: ").append(nextOffset).append("\ndata: {\"t\":\"");
+                events.append(TokenText.of(sequence.id, nextOffset)).append("\"}\n\n");
+                nextOffset++;
             }
             request.response().write(events.toString());
             events.setLength(0);
         }
-        if (next >= sequence.generated && sequence.isFinal()) {
+        if (nextOffset >= sequence.generated && sequence.isFinal()) {
             ended = true;
             request.response()
                     .end("event: end\ndata: "
@@ -53,7 +53,7 @@
         }
     }
 
-    void heartbeat() {
+    void sendHeartbeat() {
         if (!ended && !request.response().closed() && !request.response().writeQueueFull()) {
             request.response().write(": hb\n\n");
         }
--- a/tools/src/main/java/org/verbenatally/standin/BatchScheduler.java
+++ b/tools/src/main/java/org/verbenatally/standin/BatchScheduler.java
@@ -6,22 +6,23 @@
 import java.util.TreeSet;
 
 /**
- * Continuous batching: decides step by step which sequences run, and accounts for the key-value memory. It knows
- * neither clocks nor connections.
+ * Scheduler for continuous batching: selects the sequences that run in each step and accounts for the key-value memory.
+ * It depends on neither clocks nor connections.
  *
- * <p>Memory for a sequence is taken when it starts (prompt and the tokens it already has) and grows by one token with
- * each decoded token. If it would overflow, the youngest sequence of the lowest priority loses its memory, waits again
- * in its old place, and its tokens are recomputed like a prompt when it restarts.
+ * <p>A sequence takes memory for its prompt and the tokens generated so far when it starts, and for one more token with
+ * each decoded token. If the memory would overflow, the youngest sequence of the lowest priority is preempted: its
+ * memory is freed, it returns to its former position in the wait queue, and its tokens are recomputed like a prompt
+ * when it restarts.
  */
 final class BatchScheduler {
-    private static final Comparator<Sequence> ORDER =
+    private static final Comparator<Sequence> SCHEDULING_ORDER =
             Comparator.comparingInt((Sequence s) -> -s.priority).thenComparingLong(s -> s.arrival);
 
     private final PrefixCache cache;
     private final List<Sequence> running = new ArrayList<>();
-    private final TreeSet<Sequence> waiting = new TreeSet<>(ORDER);
-    private List<Sequence> emitting = List.of();
-    private int used;
+    private final TreeSet<Sequence> waiting = new TreeSet<>(SCHEDULING_ORDER);
+    private List<Sequence> decoding = List.of();
+    private int usedTokens;
     private long preemptions;
 
     BatchScheduler(PrefixCache cache) {
@@ -37,7 +38,7 @@
     }
 
     int usedTokens() {
-        return used;
+        return usedTokens;
     }
 
     long preemptions() {
@@ -52,64 +53,65 @@
         waiting.add(sequence);
     }
 
-    /** Takes a sequence out and frees its memory. */
-    void remove(Sequence sequence, Sequence.State end) {
+    /** Removes a sequence, frees its memory and sets its final state. */
+    void remove(Sequence sequence, Sequence.State finalState) {
         if (!waiting.remove(sequence) && running.remove(sequence)) {
             release(sequence);
         }
-        sequence.state = end;
+        sequence.state = finalState;
     }
 
-    /** Plans a step and returns its duration in milliseconds. */
+    /** Starts a step and returns its duration, in milliseconds. */
     double beginStep(EngineOptions options) {
-        makeRoom(options.kvTokens());
+        preemptIfFull(options.kvTokens());
         admit(options);
-        cache.shrink(Math.min(options.prefixCacheTokens(), options.kvTokens() - used));
-        int budget = options.prefillTokensPerStep();
-        int prefilled = 0;
-        emitting = new ArrayList<>();
+        cache.shrink(Math.min(options.prefixCacheTokens(), options.kvTokens() - usedTokens));
+        int prefillBudget = options.prefillTokensPerStep();
+        int totalPrefillTokens = 0;
+        decoding = new ArrayList<>();
         for (Sequence sequence : running) {
-            int share = Math.min(budget - prefilled, sequence.prefillLeft);
-            boolean prefilling = sequence.prefillLeft > 0;
-            sequence.prefillLeft -= share;
-            prefilled += share;
-            if (sequence.prefillLeft == 0) {
-                emitting.add(sequence);
-                if (prefilling) {
+            int prefillTokens = Math.min(prefillBudget - totalPrefillTokens, sequence.remainingPrefillTokens);
+            boolean inPrefill = sequence.remainingPrefillTokens > 0;
+            sequence.remainingPrefillTokens -= prefillTokens;
+            totalPrefillTokens += prefillTokens;
+            if (sequence.remainingPrefillTokens == 0) {
+                decoding.add(sequence);
+                if (inPrefill) {
                     cache.store(
-                            sequence.promptBlocks, Math.min(options.prefixCacheTokens(), options.kvTokens() - used));
+                            sequence.promptBlocks,
+                            Math.min(options.prefixCacheTokens(), options.kvTokens() - usedTokens));
                 }
             }
         }
         return options.stepBaseMs()
-                + options.stepPerSequenceMs() * emitting.size()
-                + options.prefillPerTokenMs() * prefilled;
+                + options.stepPerSequenceMs() * decoding.size()
+                + options.prefillPerTokenMs() * totalPrefillTokens;
     }
 
-    /** Ends the step: each sequence whose prompt is processed has one more token. Returns those sequences. */
+    /** Ends the step: adds one token to each sequence whose prompt is processed. Returns these sequences. */
     List<Sequence> endStep(EngineOptions options) {
-        List<Sequence> emitted = new ArrayList<>(emitting.size());
-        for (Sequence sequence : emitting) {
-            if (sequence.state != Sequence.State.RUNNING || sequence.prefillLeft > 0) {
+        List<Sequence> emitted = new ArrayList<>(decoding.size());
+        for (Sequence sequence : decoding) {
+            if (sequence.state != Sequence.State.RUNNING || sequence.remainingPrefillTokens > 0) {
                 continue;
             }
             sequence.generated++;
-            sequence.held++;
-            used++;
+            sequence.heldTokens++;
+            usedTokens++;
             emitted.add(sequence);
-            if (sequence.generated >= sequence.target) {
+            if (sequence.generated >= sequence.outputTokens) {
                 remove(sequence, Sequence.State.DONE);
-            } else if (sequence.held >= options.kvTokens()) {
+            } else if (sequence.heldTokens >= options.kvTokens()) {
                 remove(sequence, Sequence.State.MEMORY_LIMIT);
             }
         }
-        emitting = List.of();
+        decoding = List.of();
         return emitted;
     }
 
-    private void makeRoom(int capacity) {
-        while (used + running.size() > capacity && running.size() > 1) {
-            Sequence victim = running.stream().max(ORDER).orElseThrow();
+    private void preemptIfFull(int capacityTokens) {
+        while (usedTokens + running.size() > capacityTokens && running.size() > 1) {
+            Sequence victim = running.stream().max(SCHEDULING_ORDER).orElseThrow();
             running.remove(victim);
             release(victim);
             victim.state = Sequence.State.WAITING;
@@ -122,22 +124,22 @@
     private void admit(EngineOptions options) {
         while (running.size() < options.maxBatch() && !waiting.isEmpty()) {
             Sequence next = waiting.first();
-            int room = options.kvTokens() - used - running.size();
-            if (next.contextTokens() + 1 > room && !running.isEmpty()) {
+            int freeTokens = options.kvTokens() - usedTokens - running.size();
+            if (next.contextTokens() + 1 > freeTokens && !running.isEmpty()) {
                 return;
             }
             waiting.remove(next);
-            next.held = next.contextTokens();
-            used += next.held;
-            next.prefillLeft = Math.max(1, next.held - cache.match(next.promptBlocks));
+            next.heldTokens = next.contextTokens();
+            usedTokens += next.heldTokens;
+            next.remainingPrefillTokens = Math.max(1, next.heldTokens - cache.match(next.promptBlocks));
             next.state = Sequence.State.RUNNING;
             running.add(next);
         }
     }
 
     private void release(Sequence sequence) {
-        used -= sequence.held;
-        sequence.held = 0;
-        sequence.prefillLeft = 0;
+        usedTokens -= sequence.heldTokens;
+        sequence.heldTokens = 0;
+        sequence.remainingPrefillTokens = 0;
     }
 }
--- a/tools/src/main/java/org/verbenatally/standin/EngineStandin.java
+++ b/tools/src/main/java/org/verbenatally/standin/EngineStandin.java
@@ -10,18 +10,23 @@
 import org.verbenatally.core.GenerationId;
 
 /**
- * Stand-in for a model engine: HTTP interface, generations and connections. {@link BatchScheduler} has the timing and
- * memory model; {@code docs/standins.md} describes it.
+ * Stand-in for a model engine: HTTP interface, generations and connections. {@link BatchScheduler} implements the
+ * timing and memory model, which {@code docs/standins.md} describes.
  *
- * <p>Markers in the prompt: {@code [len=N]} sets the output length; {@code [crash]} crashes the engine when the prompt
- * is processed, {@code [crash=N]} after N tokens; {@code [work=ID]} is recorded. Only the stand-in reads them.
+ * <p>Markers in the prompt, which only the stand-in interprets: {@code [len=N]} sets the output length in tokens;
+ * {@code [crash]} crashes the engine when the prompt has been processed, {@code [crash=N]} after N tokens;
+ * {@code [work=ID]} adds the id of the work item to the history.
  *
  * <p>Admin: {@code GET /admin/history}, {@code PATCH /admin/options} (members of {@link EngineOptions}), {@code POST
  * /admin/halt} with {@code {"afterMs":n}}, {@code POST /admin/drop-connections}, {@code GET /admin/state}.
  */
 public final class EngineStandin implements AutoCloseable {
-    private static final long SWEEP_MS = 50;
-    private static final long LATE_NANOS = 5_000_000;
+    private static final long SWEEP_INTERVAL_MS = 50;
+    /**
+     * A step is timed from the planned end of the previous one if that is less than 5 ms ago, so that timer delays do
+     * not add up.
+     */
+    private static final long MAX_TIMER_LAG_NANOS = 5_000_000;
 
     private final StandinHost host;
     private final History history;
@@ -35,10 +40,10 @@
     private final ModelStore models;
     private EngineOptions options;
     private long arrivals;
-    private boolean stepping;
+    private boolean stepInProgress;
     private boolean crashed;
-    private long stepEndNanos;
-    private long heartbeatNanos;
+    private long plannedStepEndNanos;
+    private long lastHeartbeatNanos;
 
     /** Creates a stopped engine whose crash drops the listener and all connections. */
     public EngineStandin(EngineOptions options) {
@@ -48,7 +53,7 @@
     /**
      * Creates a stopped engine.
      *
-     * @param onCrash what a crash does; {@code null}: drops the listener and all connections
+     * @param onCrash action that simulates the crash; {@code null}: drops the listener and all connections
      */
     public EngineStandin(EngineOptions options, Runnable onCrash) {
         this.options = Objects.requireNonNull(options, "options");
@@ -64,27 +69,27 @@
     /** Starts listening and returns the bound port. */
     public int start() {
         reports.add(load(), 0);
-        int port = host.start(this::handle);
-        host.call(() -> host.vertx().setPeriodic(SWEEP_MS, ignored -> sweep()));
+        int port = host.start(this::handleRequest);
+        host.call(() -> host.vertx().setPeriodic(SWEEP_INTERVAL_MS, ignored -> sweep()));
         return port;
     }
 
-    /** Replaces options by name at run time. */
+    /** Changes options by name at run time. */
     public void change(Map<String, ?> changes) {
         host.call(() -> options = OptionRecords.with(options, changes));
     }
 
-    /** Returns the history so far. */
+    /** Returns a copy of the recorded events. */
     public List<JsonObject> history() {
         return history.events();
     }
 
-    /** Returns the load without lag. */
+    /** Returns the current load, without the lag of the load reports. */
     public JsonObject state() {
         return host.call(this::load);
     }
 
-    /** Crashes as on a {@code [crash]} prompt. */
+    /** Crashes the engine as a {@code [crash]} prompt does. */
     public void crash() {
         host.call(() -> {
             crash("order");
@@ -97,14 +102,14 @@
         host.close();
     }
 
-    /** A crashed engine that is embedded runs and records nothing more, as a dead process does. */
-    private void note(String event, JsonObject details) {
+    /** Adds an event to the history. An embedded engine that has crashed records nothing more, like a dead process. */
+    private void recordEvent(String event, JsonObject details) {
         if (!crashed) {
             history.add(event, details);
         }
     }
 
-    private void handle(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         if (crashed) {
             request.connection().close();
             return;
@@ -113,36 +118,36 @@
         if (path.startsWith("/v1/generations/")) {
             GenerationId id = new GenerationId(path.substring("/v1/generations/".length()));
             switch (request.method().name()) {
-                case "GET" -> resume(request, id);
-                case "DELETE" -> cancel(request, id);
-                default -> StandinHost.error(request, 405, "only GET and DELETE");
+                case "GET" -> resumeGeneration(request, id);
+                case "DELETE" -> cancelGeneration(request, id);
+                default -> StandinHost.error(request, 405, "only GET and DELETE are supported");
             }
             return;
         }
         String route = request.method().name() + " " + path;
         switch (route) {
-            case "POST /v1/generations" -> StandinHost.readJson(request, body -> accept(request, body));
-            case "GET /v1/load" -> StandinHost.json(request, 200, reports.serve());
+            case "POST /v1/generations" -> StandinHost.readJson(request, body -> acceptGeneration(request, body));
+            case "GET /v1/load" -> StandinHost.json(request, 200, reports.laggedReport());
             case "GET /v1/cache-events" -> {
                 String after = request.getParam("after", "0");
                 JsonObject page = new JsonObject()
                         .put("incarnation", incarnation)
-                        .put("events", cacheEvents.after(Long.parseLong(after), options.cacheEventDelayMs()));
+                        .put("events", cacheEvents.pageAfter(Long.parseLong(after), options.cacheEventDelayMs()));
                 StandinHost.json(request, 200, page);
             }
-            case "POST /v1/orders" -> StandinHost.readJson(request, body -> order(request, body));
-            default -> admin(request, route);
+            case "POST /v1/orders" -> StandinHost.readJson(request, body -> acceptOrder(request, body));
+            default -> handleAdmin(request, route);
         }
     }
 
-    private void admin(HttpServerRequest request, String route) {
+    private void handleAdmin(HttpServerRequest request, String route) {
         switch (route) {
             case "GET /admin/history" -> request.response().end(history.lines());
             case "GET /admin/state" -> StandinHost.json(request, 200, load());
             case "PATCH /admin/options" ->
                 StandinHost.readJson(request, body -> {
                     options = OptionRecords.with(options, body.getMap());
-                    note("options", body);
+                    recordEvent("options", body);
                     request.response().setStatusCode(204).end();
                 });
             case "POST /admin/drop-connections" -> host.dropConnections(request);
@@ -170,17 +175,18 @@
                 .put("leaving", options.leaving());
     }
 
-    private void accept(HttpServerRequest request, JsonObject body) {
+    private void acceptGeneration(HttpServerRequest request, JsonObject body) {
         GenerationId id = new GenerationId(body.getString("generation"));
         String prompt = Objects.requireNonNull(body.getString("prompt"), "prompt is required");
-        String reason = refusal(body);
+        String reason = refusalReason(body);
         if (reason != null) {
-            note("refused", new JsonObject().put("generation", id.value()).put("reason", reason));
+            recordEvent(
+                    "refused", new JsonObject().put("generation", id.value()).put("reason", reason));
             StandinHost.notRun(request, reason);
             return;
         }
         if (sequences.containsKey(id)) {
-            StandinHost.error(request, 409, "generation exists");
+            StandinHost.error(request, 409, "generation already exists");
             return;
         }
         int maxTokens = body.getInteger("maxTokens", 65_536);
@@ -193,11 +199,11 @@
                 options.defaultLength(),
                 ++arrivals);
         if (maxTokens < 1 || sequence.promptTokens >= options.kvTokens()) {
-            StandinHost.error(request, 400, "prompt must fit the memory and maxTokens be positive");
+            StandinHost.error(request, 400, "prompt must fit into memory and maxTokens must be positive");
             return;
         }
         sequences.put(id, sequence);
-        note(
+        recordEvent(
                 "start",
                 new JsonObject()
                         .put("generation", id.value())
@@ -206,37 +212,37 @@
                         .put("model", body.getString("model"))
                         .put("priority", sequence.priority)
                         .put("promptTokens", sequence.promptTokens)
-                        .put("target", sequence.target));
+                        .put("target", sequence.outputTokens));
         attach(request, sequence, 0);
         scheduler.add(sequence);
-        step();
+        startStep();
     }
 
-    private String refusal(JsonObject body) {
+    private String refusalReason(JsonObject body) {
         if (options.leaving()) {
             return "leaving";
         }
-        if (!models.has(body.getString("model"), body.getString("adapter"))) {
+        if (!models.isServed(body.getString("model"), body.getString("adapter"))) {
             return "model-not-loaded";
         }
         return scheduler.waiting() >= options.maxWaiting() && scheduler.running() >= options.maxBatch() ? "full" : null;
     }
 
     private void attach(HttpServerRequest request, Sequence sequence, long from) {
-        Attachment older = sequence.attachment;
-        Attachment attachment = new Attachment(++sequence.attachments, request, sequence, from);
+        Attachment previous = sequence.attachment;
+        Attachment attachment = new Attachment(++sequence.attachmentCount, request, sequence, from);
         sequence.attachment = attachment;
-        note(
+        recordEvent(
                 "attach",
                 new JsonObject()
                         .put("generation", sequence.id.value())
                         .put("attachment", attachment.number)
                         .put("from", from));
-        if (older != null && older.isOpen()) {
-            older.close();
+        if (previous != null && previous.isOpen()) {
+            previous.close();
         }
         request.response().closeHandler(ignored -> detach(sequence, attachment));
-        attachment.pump();
+        attachment.sendPending();
     }
 
     private void detach(Sequence sequence, Attachment attachment) {
@@ -244,7 +250,7 @@
             sequence.attachment = null;
             sequence.detachedAtNanos = System.nanoTime();
             if (!sequence.isFinal()) {
-                note(
+                recordEvent(
                         "detach",
                         new JsonObject()
                                 .put("generation", sequence.id.value())
@@ -254,13 +260,13 @@
         }
     }
 
-    private void resume(HttpServerRequest request, GenerationId id) {
+    private void resumeGeneration(HttpServerRequest request, GenerationId id) {
         Sequence sequence = sequences.get(id);
         long from = Long.parseLong(request.getParam("from", "0"));
-        boolean known = sequence != null
+        boolean resumable = sequence != null
                 && sequence.state != Sequence.State.CANCELLED
                 && sequence.state != Sequence.State.ABANDONED;
-        if (!known) {
+        if (!resumable) {
             StandinHost.error(request, 404, "generation is not known");
         } else if (from < 0 || from > sequence.generated) {
             StandinHost.error(request, 400, "from must be within 0.." + sequence.generated);
@@ -269,22 +275,22 @@
         }
     }
 
-    private void cancel(HttpServerRequest request, GenerationId id) {
+    private void cancelGeneration(HttpServerRequest request, GenerationId id) {
         Sequence sequence = sequences.get(id);
         int number = Integer.parseInt(request.getParam("attachment", "0"));
         if (sequence == null) {
             StandinHost.error(request, 404, "generation is not known");
             return;
         }
-        if (number < sequence.attachments) {
-            note(
+        if (number < sequence.attachmentCount) {
+            recordEvent(
                     "cancel-refused",
                     new JsonObject().put("generation", id.value()).put("attachment", number));
-            StandinHost.error(request, 409, "attachment " + sequence.attachments + " is newer");
+            StandinHost.error(request, 409, "attachment " + sequence.attachmentCount + " is newer");
             return;
         }
         if (!sequence.isFinal()) {
-            end(sequence, Sequence.State.CANCELLED);
+            endSequence(sequence, Sequence.State.CANCELLED);
             if (sequence.attachment != null) {
                 sequence.attachment.close();
             }
@@ -292,13 +298,15 @@
         request.response().setStatusCode(204).end();
     }
 
-    private void order(HttpServerRequest request, JsonObject body) {
+    private void acceptOrder(HttpServerRequest request, JsonObject body) {
         long fence = body.getLong("fence");
-        boolean old = models.isOld(fence);
-        boolean refused = old && options.checksFence();
-        note(refused ? "order-refused" : "order", body.copy().put("old", old).put("highest", models.highestFence()));
+        boolean outdated = models.recordFence(fence);
+        boolean refused = outdated && options.checksFence();
+        recordEvent(
+                refused ? "order-refused" : "order",
+                body.copy().put("old", outdated).put("highest", models.highestFence()));
         if (refused) {
-            StandinHost.error(request, 409, "fencing number " + models.highestFence() + " was seen");
+            StandinHost.error(request, 409, "fencing number " + models.highestFence() + " was already received");
             return;
         }
         if (body.getString("role") != null) {
@@ -310,25 +318,25 @@
         request.response().setStatusCode(202).end();
     }
 
-    private void step() {
-        if (stepping || scheduler.isIdle() || crashed) {
+    private void startStep() {
+        if (stepInProgress || scheduler.isIdle() || crashed) {
             return;
         }
-        stepping = true;
+        stepInProgress = true;
         long now = System.nanoTime();
-        long start = now - stepEndNanos < LATE_NANOS ? stepEndNanos : now;
-        stepEndNanos = start + (long) (scheduler.beginStep(options) * 1e6);
-        long delay = Math.max(1, Math.round((stepEndNanos - now) / 1e6));
+        long start = now - plannedStepEndNanos < MAX_TIMER_LAG_NANOS ? plannedStepEndNanos : now;
+        plannedStepEndNanos = start + (long) (scheduler.beginStep(options) * 1e6);
+        long delay = Math.max(1, Math.round((plannedStepEndNanos - now) / 1e6));
         host.vertx().setTimer(delay, ignored -> endStep());
     }
 
     private void endStep() {
-        stepping = false;
+        stepInProgress = false;
         if (crashed) {
             return;
         }
         for (Sequence sequence : scheduler.endStep(options)) {
-            if (sequence.generated > sequence.crashAt) {
+            if (sequence.generated > sequence.crashAfterTokens) {
                 crash(sequence.id.value());
                 return;
             }
@@ -339,20 +347,21 @@
                 record(sequence);
             }
             if (sequence.attachment != null) {
-                sequence.attachment.pump();
+                sequence.attachment.sendPending();
             }
         }
-        step();
+        startStep();
     }
 
-    private void end(Sequence sequence, Sequence.State state) {
+    private void endSequence(Sequence sequence, Sequence.State state) {
         scheduler.remove(sequence, state);
         record(sequence);
     }
 
+    /** Adds the end of a generation to the history. */
     private void record(Sequence sequence) {
         sequence.endedAtNanos = System.nanoTime();
-        note(
+        recordEvent(
                 "end",
                 new JsonObject()
                         .put("generation", sequence.id.value())
@@ -371,11 +380,11 @@
                                         .replace('_', '-'))
                         .put("tokens", sequence.generated)
                         .put("preemptions", sequence.preemptions)
-                        .put("attachments", sequence.attachments));
+                        .put("attachments", sequence.attachmentCount));
     }
 
     private void crash(String cause) {
-        note("crash", new JsonObject().put("cause", cause).put("running", scheduler.running()));
+        recordEvent("crash", new JsonObject().put("cause", cause).put("running", scheduler.running()));
         crashed = true;
         onCrash.run();
     }
@@ -386,18 +395,18 @@
         }
         long now = System.nanoTime();
         reports.add(load(), options.reportLagMs());
-        boolean beat = now - heartbeatNanos >= options.heartbeatMs() * 1_000_000;
-        if (beat) {
-            heartbeatNanos = now;
+        boolean heartbeatDue = now - lastHeartbeatNanos >= options.heartbeatMs() * 1_000_000;
+        if (heartbeatDue) {
+            lastHeartbeatNanos = now;
         }
         for (Sequence sequence : List.copyOf(sequences.values())) {
-            if (beat && sequence.attachment != null) {
-                sequence.attachment.heartbeat();
+            if (heartbeatDue && sequence.attachment != null) {
+                sequence.attachment.sendHeartbeat();
             }
             if (!sequence.isFinal()
                     && sequence.attachment == null
                     && now - sequence.detachedAtNanos > options.detachedDecodeMs() * 1_000_000) {
-                end(sequence, Sequence.State.ABANDONED);
+                endSequence(sequence, Sequence.State.ABANDONED);
             }
             if (sequence.isFinal() && now - sequence.endedAtNanos > options.retainMs() * 1_000_000) {
                 sequences.remove(sequence.id);
--- a/tools/src/main/java/org/verbenatally/standin/ModelStore.java
+++ b/tools/src/main/java/org/verbenatally/standin/ModelStore.java
@@ -13,59 +13,62 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 
-/** Models and adapters of an engine: what is loaded, and the orders that change it. Loads run one after the other. */
+/** Loaded models and adapters of an engine, and the orders that change them. Loads run one after the other. */
 final class ModelStore {
-    private static final class Loaded {
+    private static final class LoadedModel {
         private final String version;
         private final TreeSet<String> adapters = new TreeSet<>();
 
-        Loaded(String version) {
+        LoadedModel(String version) {
             this.version = version;
         }
     }
 
-    private record Load(String model, String version, String adapter) {}
+    private record LoadTask(String model, String version, String adapter) {}
 
     private final Vertx vertx;
-    private final Consumer<JsonObject> loadedEvent;
-    private final Map<String, Loaded> loaded = new LinkedHashMap<>();
-    private final Deque<Load> queue = new ArrayDeque<>();
+    private final Consumer<JsonObject> onLoaded;
+    private final Map<String, LoadedModel> loaded = new LinkedHashMap<>();
+    private final Deque<LoadTask> queue = new ArrayDeque<>();
     private final HttpClient client;
-    private boolean any;
+    private boolean servesAnyModel;
     private boolean loading;
     private long highestFence = -1;
 
-    /** Starts with the models of the options, without loading time. */
-    ModelStore(Vertx vertx, EngineOptions options, Consumer<JsonObject> loadedEvent) {
+    /** Creates a store in which the models of the options are already loaded. */
+    ModelStore(Vertx vertx, EngineOptions options, Consumer<JsonObject> onLoaded) {
         this.vertx = vertx;
-        this.loadedEvent = loadedEvent;
+        this.onLoaded = onLoaded;
         client = vertx.createHttpClient();
         for (String text : options.models().strip().split("\\s+")) {
-            String[] parts = text.split("\\+");
+            String[] modelAndAdapters = text.split("\\+");
             if (text.equals("*")) {
-                any = true;
+                servesAnyModel = true;
             } else if (!text.isEmpty()) {
-                String[] name = parts[0].split("@");
-                Loaded entry = new Loaded(name.length > 1 ? name[1] : "1");
-                for (int i = 1; i < parts.length; i++) {
-                    entry.adapters.add(parts[i]);
+                String[] name = modelAndAdapters[0].split("@");
+                LoadedModel loadedModel = new LoadedModel(name.length > 1 ? name[1] : "1");
+                for (int i = 1; i < modelAndAdapters.length; i++) {
+                    loadedModel.adapters.add(modelAndAdapters[i]);
                 }
-                loaded.put(name[0], entry);
+                loaded.put(name[0], loadedModel);
             }
         }
     }
 
-    boolean has(String model, String adapter) {
-        Loaded entry = loaded.get(model);
-        return any || entry != null && (adapter == null || adapter.isEmpty() || entry.adapters.contains(adapter));
+    /** Returns whether requests for a model are served; {@code adapter} may be {@code null} or empty for none. */
+    boolean isServed(String model, String adapter) {
+        LoadedModel loadedModel = loaded.get(model);
+        return servesAnyModel
+                || loadedModel != null
+                        && (adapter == null || adapter.isEmpty() || loadedModel.adapters.contains(adapter));
     }
 
     JsonArray toJson() {
         JsonArray models = new JsonArray();
-        loaded.forEach((name, entry) -> models.add(new JsonObject()
+        loaded.forEach((name, loadedModel) -> models.add(new JsonObject()
                 .put("model", name)
-                .put("version", entry.version)
-                .put("adapters", new JsonArray(entry.adapters.stream().toList()))));
+                .put("version", loadedModel.version)
+                .put("adapters", new JsonArray(loadedModel.adapters.stream().toList()))));
         return models;
     }
 
@@ -73,29 +76,32 @@
         return highestFence;
     }
 
-    /** Returns whether a fencing number is lower than one seen before, and remembers the highest. */
-    boolean isOld(long fence) {
-        boolean old = fence < highestFence;
+    /** Records a fencing number and returns whether it is lower than the highest one recorded before. */
+    boolean recordFence(long fence) {
+        boolean outdated = fence < highestFence;
         highestFence = Math.max(highestFence, fence);
-        return old;
+        return outdated;
     }
 
-    /** Queues what is missing for an order. An engine that starts with any model has it at once. */
+    /**
+     * Queues the loads that an order needs. In an engine that serves any model ({@code *} in the options), a load takes
+     * 1 ms.
+     */
     void order(String model, String version, String adapter, EngineOptions options) {
-        Loaded entry = loaded.get(model);
-        if (entry == null || !entry.version.equals(version)) {
-            enqueue(new Load(model, version, null));
+        LoadedModel loadedModel = loaded.get(model);
+        if (loadedModel == null || !loadedModel.version.equals(version)) {
+            enqueue(new LoadTask(model, version, null));
         }
         boolean wantsAdapter = adapter != null && !adapter.isEmpty();
-        if (wantsAdapter && (entry == null || !entry.adapters.contains(adapter))) {
-            enqueue(new Load(model, version, adapter));
+        if (wantsAdapter && (loadedModel == null || !loadedModel.adapters.contains(adapter))) {
+            enqueue(new LoadTask(model, version, adapter));
         }
         loadNext(options);
     }
 
-    private void enqueue(Load load) {
-        if (!queue.contains(load)) {
-            queue.addLast(load);
+    private void enqueue(LoadTask task) {
+        if (!queue.contains(task)) {
+            queue.addLast(task);
         }
     }
 
@@ -104,10 +110,12 @@
             return;
         }
         loading = true;
-        Load load = queue.getFirst();
-        long ms = any ? 1 : Math.max(1, load.adapter() == null ? options.modelLoadMs() : options.adapterLoadMs());
+        LoadTask task = queue.getFirst();
+        long loadMs = servesAnyModel
+                ? 1
+                : Math.max(1, task.adapter() == null ? options.modelLoadMs() : options.adapterLoadMs());
         if (options.weightStore().isEmpty()) {
-            vertx.setTimer(ms, ignored -> finish(load, options));
+            vertx.setTimer(loadMs, ignored -> onLoadDone(task, options));
             return;
         }
         int colon = options.weightStore().lastIndexOf(':');
@@ -115,32 +123,32 @@
                         HttpMethod.GET,
                         Integer.parseInt(options.weightStore().substring(colon + 1)),
                         options.weightStore().substring(0, colon),
-                        "/v1/weights/" + load.model())
+                        "/v1/weights/" + task.model())
                 .compose(request -> request.send())
                 .compose(response -> response.body())
-                .onSuccess(ignored -> vertx.setTimer(ms, timer -> finish(load, options)))
+                .onSuccess(ignored -> vertx.setTimer(loadMs, timer -> onLoadDone(task, options)))
                 .onFailure(ignored -> vertx.setTimer(1_000, timer -> {
                     loading = false;
                     loadNext(options);
                 }));
     }
 
-    private void finish(Load load, EngineOptions options) {
-        queue.remove(load);
+    private void onLoadDone(LoadTask task, EngineOptions options) {
+        queue.remove(task);
         loading = false;
-        if (load.adapter() == null) {
-            loaded.remove(load.model());
+        if (task.adapter() == null) {
+            loaded.remove(task.model());
             while (loaded.size() >= options.maxModels()) {
                 loaded.remove(loaded.keySet().iterator().next());
             }
-            loaded.put(load.model(), new Loaded(load.version()));
-        } else if (loaded.containsKey(load.model())) {
-            loaded.get(load.model()).adapters.add(load.adapter());
+            loaded.put(task.model(), new LoadedModel(task.version()));
+        } else if (loaded.containsKey(task.model())) {
+            loaded.get(task.model()).adapters.add(task.adapter());
         }
-        loadedEvent.accept(new JsonObject()
-                .put("model", load.model())
-                .put("version", load.version())
-                .put("adapter", load.adapter()));
+        onLoaded.accept(new JsonObject()
+                .put("model", task.model())
+                .put("version", task.version())
+                .put("adapter", task.adapter()));
         loadNext(options);
     }
 }
--- a/tools/src/main/java/org/verbenatally/standin/SteppedEngine.java
+++ b/tools/src/main/java/org/verbenatally/standin/SteppedEngine.java
@@ -6,8 +6,8 @@
 import org.verbenatally.core.GenerationId;
 
 /**
- * The batching and memory model of {@link EngineStandin} without clocks and connections: the caller decides when a step
- * ends. For trials of policies in memory. Not safe for use by several threads.
+ * The batching and memory model of {@link EngineStandin} without clocks and connections, for simulating policies in
+ * memory. The caller decides when a step ends. Not thread-safe.
  */
 public final class SteppedEngine {
     private final EngineOptions options;
@@ -22,7 +22,7 @@
             this.sequence = sequence;
         }
 
-        /** Tells whether all tokens were produced. */
+        /** Returns whether the generation has ended. */
         public boolean isDone() {
             return sequence.isFinal();
         }
@@ -34,7 +34,7 @@
         this.scheduler = new BatchScheduler(new PrefixCache((type, block) -> {}));
     }
 
-    /** Adds a generation; {@code [len=N]} in the prompt sets the length of its output. */
+    /** Adds a generation; {@code [len=N]} in the prompt sets the length of its output, in tokens. */
     public Generation add(String organisation, String prompt, int priority, int maxTokens) {
         Sequence sequence = new Sequence(
                 GenerationId.random(), organisation, prompt, priority, maxTokens, options.defaultLength(), ++arrivals);
@@ -47,38 +47,38 @@
         return scheduler.beginStep(options);
     }
 
-    /** Ends the step and tells how many sequences produced a token in it. */
+    /** Ends the step and returns the number of sequences that produced a token in it. */
     public int endStep() {
         List<Sequence> emitted = scheduler.endStep(options);
         return emitted.size();
     }
 
-    /** Returns the tokens that a generation has produced. */
+    /** Returns the number of tokens that a generation has produced. */
     public int tokens(Generation generation) {
         return generation.sequence.generated;
     }
 
-    /** Tells whether there is nothing to do. */
+    /** Returns whether no generation runs or waits. */
     public boolean isIdle() {
         return scheduler.isIdle();
     }
 
-    /** Returns the generations in the batch. */
+    /** Returns the number of generations in the batch. */
     public int running() {
         return scheduler.running();
     }
 
-    /** Returns the generations that wait. */
+    /** Returns the number of generations that wait. */
     public int waiting() {
         return scheduler.waiting();
     }
 
-    /** Returns the tokens held in key-value memory. */
+    /** Returns the number of tokens held in key-value memory. */
     public int usedTokens() {
         return scheduler.usedTokens();
     }
 
-    /** Returns the preemptions so far. */
+    /** Returns the number of preemptions so far. */
     public long preemptions() {
         return scheduler.preemptions();
     }
--- a/tools/src/test/java/org/verbenatally/standin/BatchSchedulerTest.java
+++ b/tools/src/test/java/org/verbenatally/standin/BatchSchedulerTest.java
@@ -9,7 +9,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The memory and batch model that policies are judged by. */
+/** Tests of the batch and memory model on which policies are evaluated. */
 class BatchSchedulerTest {
     private final List<String> events = new ArrayList<>();
     private final PrefixCache cache = new PrefixCache((type, block) -> events.add(type));
@@ -35,40 +35,41 @@
     }
 
     @Test
-    void fullBatchKeepsToTheTokenGap() {
+    void fullBatchMeetsTheTokenGap() {
         for (int i = 0; i < 40; i++) {
             add("x".repeat(400), 10_000, 0);
         }
-        double longest = 0;
+        double longestMs = 0;
         for (int i = 0; i < 200; i++) {
-            longest = Math.max(longest, step());
+            longestMs = Math.max(longestMs, step());
         }
         assertThat(scheduler.running()).isEqualTo(32);
         assertThat(scheduler.waiting()).isEqualTo(8);
-        assertThat(longest).isLessThan(54);
+        assertThat(longestMs).isLessThan(54);
         assertThat(step()).isBetween(30.0, 40.0);
     }
 
-    /** Without preemption an engine that overcommits its memory would look as good as one that does not. */
+    /** Guards against a model in which overcommitted memory costs nothing because no sequence is preempted. */
     @Test
     void preemptsTheYoungestOfTheLowestPriorityAndRecomputesIt() {
         change(Map.of("kvTokens", 100, "prefillTokensPerStep", 1_000));
-        Sequence high = add("", 60, 5);
-        Sequence old = add("", 60, 1);
-        Sequence young = add("", 60, 1);
+        Sequence highPriority = add("", 60, 5);
+        Sequence older = add("", 60, 1);
+        Sequence youngest = add("", 60, 1);
         for (int i = 0; i < 59 && scheduler.preemptions() == 0; i++) {
             step();
         }
-        assertThat(List.of(high.preemptions, old.preemptions, young.preemptions))
+        assertThat(List.of(highPriority.preemptions, older.preemptions, youngest.preemptions))
                 .containsExactly(0, 0, 1);
-        assertThat(young.state).isEqualTo(Sequence.State.WAITING);
-        int before = young.generated;
+        assertThat(youngest.state).isEqualTo(Sequence.State.WAITING);
+        int generatedAtPreemption = youngest.generated;
         while (!scheduler.isIdle()) {
             step();
             assertThat(scheduler.usedTokens()).isLessThanOrEqualTo(100);
         }
-        assertThat(before).isBetween(1, 59);
-        assertThat(List.of(high.generated, old.generated, young.generated)).containsExactly(60, 60, 60);
+        assertThat(generatedAtPreemption).isBetween(1, 59);
+        assertThat(List.of(highPriority.generated, older.generated, youngest.generated))
+                .containsExactly(60, 60, 60);
         assertThat(scheduler.usedTokens()).isZero();
     }
 
@@ -86,9 +87,9 @@
     void cachedPrefixIsNotProcessedAgainUntilItIsEvicted() {
         String prompt = "y".repeat(4 * 640);
         add(prompt, 1, 0);
-        double first = step() + step();
+        double firstMs = step() + step();
         add(prompt, 1, 0);
-        assertThat(step()).isLessThan(first / 2);
+        assertThat(step()).isLessThan(firstMs / 2);
         assertThat(cache.tokens()).isEqualTo(640);
         change(Map.of("prefixCacheTokens", 128));
         add(prompt, 1, 0);
--- a/tools/src/test/java/org/verbenatally/standin/EngineStandinTest.java
+++ b/tools/src/test/java/org/verbenatally/standin/EngineStandinTest.java
@@ -14,7 +14,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The engine's published interface; a deviation would make faults of the entry look like the engine's. */
+/** Tests of the engine's published interface. A deviation in it could be mistaken for a fault of the entry. */
 class EngineStandinTest {
     private static final Map<String, Object> FAST = Map.of("stepBaseMs", 1, "stepPerSequenceMs", 0, "reportLagMs", 0);
 
@@ -58,9 +58,9 @@
         var response = TestHttp.send(port, "POST", "/v1/generations", request(id, "[len=20]"));
         assertThat(response.headers().firstValue("Attachment")).contains("1");
         assertThat(response.body().replace(": hb\n\n", "")).isEqualTo(expectedEvents(id, 0, 20));
-        var rest = TestHttp.send(port, "GET", "/v1/generations/" + id + "?from=15", "");
-        assertThat(rest.headers().firstValue("Attachment")).contains("2");
-        assertThat(rest.body().replace(": hb\n\n", "")).isEqualTo(expectedEvents(id, 15, 20));
+        var resumed = TestHttp.send(port, "GET", "/v1/generations/" + id + "?from=15", "");
+        assertThat(resumed.headers().firstValue("Attachment")).contains("2");
+        assertThat(resumed.body().replace(": hb\n\n", "")).isEqualTo(expectedEvents(id, 15, 20));
         assertThat(engine.history().stream().map(e -> e.getString("event")))
                 .containsSubsequence("start", "attach", "end", "attach");
     }
@@ -81,27 +81,27 @@
 
     @ParameterizedTest
     @CsvSource({"leaving, true, leaving", "models, m2, model-not-loaded", "maxWaiting, 0, full"})
-    void saysWhyItDidNotRunNewWork(String option, String value, String reason) throws Exception {
+    void reportsWhyNewWorkWasNotRun(String option, String value, String reason) throws Exception {
         start(Map.of("maxBatch", 1, option, value, "stepBaseMs", 200));
         if (reason.equals("full")) {
-            TestHttp.sendLater(port, "POST", "/v1/generations", request(GenerationId.random(), "[len=900]"));
-            TestHttp.until(() -> engine.state().getInteger("running") == 1);
+            TestHttp.sendAsync(port, "POST", "/v1/generations", request(GenerationId.random(), "[len=900]"));
+            TestHttp.waitUntil(() -> engine.state().getInteger("running") == 1);
         }
         var response = TestHttp.send(port, "POST", "/v1/generations", request(GenerationId.random(), "a"));
         assertThat(response.statusCode()).isEqualTo(503);
         assertThat(new JsonObject(response.body()).getString("reason")).isEqualTo(reason);
     }
 
-    /** A cancel by an entry that lost the stream to another one would cut off the caller there. */
+    /** Guards against a cancel by an entry that lost the stream to another entry: it would cut off the caller there. */
     @Test
     void refusesCancelWithAnOlderAttachment() throws Exception {
         start(Map.of("stepBaseMs", 20));
         GenerationId id = GenerationId.random();
         String path = "/v1/generations/" + id;
-        TestHttp.sendLater(port, "POST", "/v1/generations", request(id, "[len=900]"));
-        TestHttp.until(() -> engine.state().getInteger("running") == 1);
-        TestHttp.sendLater(port, "GET", path + "?from=0", "");
-        TestHttp.until(() -> engine.history().stream()
+        TestHttp.sendAsync(port, "POST", "/v1/generations", request(id, "[len=900]"));
+        TestHttp.waitUntil(() -> engine.state().getInteger("running") == 1);
+        TestHttp.sendAsync(port, "GET", path + "?from=0", "");
+        TestHttp.waitUntil(() -> engine.history().stream()
                         .filter(e -> e.getString("event").equals("attach"))
                         .count()
                 == 2);
@@ -113,31 +113,31 @@
                 .isEqualTo(404);
     }
 
-    /** An entry that resumes counts on the engine to go on decoding, and on its end when nobody comes back. */
+    /** Guards against generations that end before an entry can resume them, or that run on if none does. */
     @ParameterizedTest
     @CsvSource({"60000, done, 200", "1, abandoned, 404"})
     void decodesWithoutAConnectionForALimitedTime(long detachedDecodeMs, String ended, int status) throws Exception {
         start(Map.of("stepBaseMs", 10, "detachedDecodeMs", detachedDecodeMs));
         GenerationId id = GenerationId.random();
-        TestHttp.sendLater(port, "POST", "/v1/generations", request(id, "[len=60]"));
-        TestHttp.until(() -> engine.state().getInteger("running") == 1);
+        TestHttp.sendAsync(port, "POST", "/v1/generations", request(id, "[len=60]"));
+        TestHttp.waitUntil(() -> engine.state().getInteger("running") == 1);
         TestHttp.send(port, "POST", "/admin/drop-connections", "");
-        TestHttp.until(() -> engine.history().stream()
+        TestHttp.waitUntil(() -> engine.history().stream()
                 .anyMatch(e -> e.getString("event").equals("end")
                         && e.getString("ended").equals(ended)));
         assertThat(TestHttp.send(port, "GET", "/v1/generations/" + id + "?from=0", "")
                         .statusCode())
                 .isEqualTo(status);
         engine.change(Map.of("retainMs", 0));
-        TestHttp.until(() -> TestHttp.send(port, "GET", "/v1/generations/" + id + "?from=0", "")
+        TestHttp.waitUntil(() -> TestHttp.send(port, "GET", "/v1/generations/" + id + "?from=0", "")
                         .statusCode()
                 == 404);
     }
 
     @ParameterizedTest
     @CsvSource({"true, 409", "false, 202"})
-    void checksTheFencingNumberOnlyWhereSet(boolean checks, int status) throws Exception {
-        start(Map.of("checksFence", checks, "models", "", "modelLoadMs", 1));
+    void checksTheFencingNumberOnlyIfEnabled(boolean checksFence, int status) throws Exception {
+        start(Map.of("checksFence", checksFence, "models", "", "modelLoadMs", 1));
         String order = "{\"fence\":%d,\"model\":\"%s\",\"version\":\"1\",\"role\":\"serve\"}";
         assertThat(TestHttp.send(port, "POST", "/v1/orders", order.formatted(7, "m1"))
                         .statusCode())
@@ -145,7 +145,7 @@
         assertThat(TestHttp.send(port, "POST", "/v1/orders", order.formatted(6, "m2"))
                         .statusCode())
                 .isEqualTo(status);
-        TestHttp.until(() -> TestHttp.load(port).getJsonArray("models").size() == (checks ? 1 : 2));
+        TestHttp.waitUntil(() -> TestHttp.load(port).getJsonArray("models").size() == (checksFence ? 1 : 2));
     }
 
     @Test
--- a/tools/src/test/java/org/verbenatally/standin/ServiceAndPlatformTest.java
+++ b/tools/src/test/java/org/verbenatally/standin/ServiceAndPlatformTest.java
@@ -57,8 +57,8 @@
             platform.publish(1, DOCUMENT.formatted(1));
             assertThat(TestHttp.send(port, "GET", "/v1/config?after=1", "").statusCode())
                     .isEqualTo(304);
-            var watch = TestHttp.sendLater(port, "GET", "/v1/config?after=1&waitMs=15000", "");
-            TestHttp.until(() -> platform.counts().getInteger("waiting") == 1);
+            var watch = TestHttp.sendAsync(port, "GET", "/v1/config?after=1&waitMs=15000", "");
+            TestHttp.waitUntil(() -> platform.counts().getInteger("waiting") == 1);
             TestHttp.send(port, "PUT", "/admin/config", DOCUMENT.formatted(2), "Config-Version", "2");
             assertThat(watch.get().headers().firstValue("Config-Version")).contains("2");
             assertThat(watch.get().body()).isEqualTo(DOCUMENT.formatted(2));
--- a/tools/src/test/java/org/verbenatally/standin/TestHttp.java
+++ b/tools/src/test/java/org/verbenatally/standin/TestHttp.java
@@ -13,7 +13,7 @@
 
 /** Plain HTTP requests to a stand-in on a loopback port. */
 final class TestHttp {
-    private static final Duration BOUND = Duration.ofSeconds(20);
+    private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final HttpClient CLIENT =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -22,7 +22,7 @@
     static HttpResponse<String> send(int port, String method, String path, String body, String... headers)
             throws IOException, InterruptedException {
         var request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-                .timeout(BOUND)
+                .timeout(TIMEOUT)
                 .method(method, HttpRequest.BodyPublishers.ofString(body));
         if (headers.length > 0) {
             request.headers(headers);
@@ -30,9 +30,9 @@
         return CLIENT.send(request.build(), HttpResponse.BodyHandlers.ofString());
     }
 
-    static CompletableFuture<HttpResponse<String>> sendLater(int port, String method, String path, String body) {
+    static CompletableFuture<HttpResponse<String>> sendAsync(int port, String method, String path, String body) {
         var request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-                .timeout(BOUND)
+                .timeout(TIMEOUT)
                 .method(method, HttpRequest.BodyPublishers.ofString(body));
         return CLIENT.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
     }
@@ -41,11 +41,11 @@
         return new JsonObject(send(port, "GET", "/v1/load", "").body());
     }
 
-    static void until(Callable<Boolean> condition) throws Exception {
-        long end = System.nanoTime() + BOUND.toNanos();
+    static void waitUntil(Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.call()) {
-            if (System.nanoTime() - end > 0) {
-                throw new AssertionError("condition not met within " + BOUND);
+            if (System.nanoTime() - deadlineNanos > 0) {
+                throw new AssertionError("condition not met within " + TIMEOUT);
             }
             Thread.sleep(5);
         }
