--- a/tools/src/main/java/org/verbenatally/standin/EngineOptions.java
+++ b/tools/src/main/java/org/verbenatally/standin/EngineOptions.java
@@ -6,19 +6,19 @@
  * Options of an engine stand-in. {@code docs/standins.md} explains the timing model.
  *
  * @param id target id
- * @param host IP number to listen on
- * @param port port; 0 takes a free one
+ * @param host IP address to listen on
+ * @param port port to listen on; 0: any free port
  * @param models loaded models, separated by spaces, each {@code model[@version][+adapter...]}; {@code *}: any model
  * @param role role of the engine
  * @param maxModels number of models that fit; loading another one evicts the one that was loaded longest ago
  * @param stepBaseMs duration of a step without sequences, in milliseconds
  * @param stepPerSequenceMs time added by each sequence that decodes, in milliseconds
  * @param prefillPerTokenMs time added by each prompt token that is processed, in milliseconds
- * @param prefillTokensPerStep most prompt tokens processed in one step, over all sequences
- * @param maxBatch most sequences that run at once
- * @param maxWaiting most requests that wait; further ones are refused as {@code full}
+ * @param prefillTokensPerStep maximum number of prompt tokens processed in one step, over all sequences
+ * @param maxBatch maximum number of sequences that run at once
+ * @param maxWaiting maximum number of requests that wait; further ones are refused as {@code full}
  * @param kvTokens size of the key-value memory, in tokens
- * @param prefixCacheTokens most free key-value memory that cached prefixes use, in tokens
+ * @param prefixCacheTokens maximum part of the free key-value memory that cached prefixes use, in tokens
  * @param cacheEventDelayMs time until a cache event becomes visible, in milliseconds
  * @param cacheEventGapShare share of cache events that never become visible, 0..1
  * @param reportLagMs age of the load reports, in milliseconds
--- a/tools/src/main/java/org/verbenatally/standin/EngineStandin.java
+++ b/tools/src/main/java/org/verbenatally/standin/EngineStandin.java
@@ -120,20 +120,20 @@
             switch (request.method().name()) {
                 case "GET" -> resumeGeneration(request, id);
                 case "DELETE" -> cancelGeneration(request, id);
-                default -> StandinHost.error(request, 405, "only GET and DELETE are supported");
+                default -> StandinHost.respondError(request, 405, "only GET and DELETE are supported");
             }
             return;
         }
         String route = request.method().name() + " " + path;
         switch (route) {
             case "POST /v1/generations" -> StandinHost.readJson(request, body -> acceptGeneration(request, body));
-            case "GET /v1/load" -> StandinHost.json(request, 200, reports.laggedReport());
+            case "GET /v1/load" -> StandinHost.respondJson(request, 200, reports.laggedReport());
             case "GET /v1/cache-events" -> {
                 String after = request.getParam("after", "0");
                 JsonObject page = new JsonObject()
                         .put("incarnation", incarnation)
                         .put("events", cacheEvents.pageAfter(Long.parseLong(after), options.cacheEventDelayMs()));
-                StandinHost.json(request, 200, page);
+                StandinHost.respondJson(request, 200, page);
             }
             case "POST /v1/orders" -> StandinHost.readJson(request, body -> acceptOrder(request, body));
             default -> handleAdmin(request, route);
@@ -143,7 +143,7 @@
     private void handleAdmin(HttpServerRequest request, String route) {
         switch (route) {
             case "GET /admin/history" -> request.response().end(history.lines());
-            case "GET /admin/state" -> StandinHost.json(request, 200, load());
+            case "GET /admin/state" -> StandinHost.respondJson(request, 200, load());
             case "PATCH /admin/options" ->
                 StandinHost.readJson(request, body -> {
                     options = OptionRecords.with(options, body.getMap());
@@ -156,7 +156,7 @@
                     host.vertx().setTimer(Math.max(1, body.getLong("afterMs", 1L)), ignored -> crash("halt"));
                     request.response().setStatusCode(202).end();
                 });
-            default -> StandinHost.error(request, 404, "no route " + route);
+            default -> StandinHost.respondError(request, 404, "no route " + route);
         }
     }
 
@@ -182,11 +182,11 @@
         if (reason != null) {
             recordEvent(
                     "refused", new JsonObject().put("generation", id.value()).put("reason", reason));
-            StandinHost.notRun(request, reason);
+            StandinHost.respondNotRun(request, reason);
             return;
         }
         if (sequences.containsKey(id)) {
-            StandinHost.error(request, 409, "generation already exists");
+            StandinHost.respondError(request, 409, "generation already exists");
             return;
         }
         int maxTokens = body.getInteger("maxTokens", 65_536);
@@ -199,7 +199,7 @@
                 options.defaultLength(),
                 ++arrivals);
         if (maxTokens < 1 || sequence.promptTokens >= options.kvTokens()) {
-            StandinHost.error(request, 400, "prompt must fit into memory and maxTokens must be positive");
+            StandinHost.respondError(request, 400, "prompt must fit into memory and maxTokens must be positive");
             return;
         }
         sequences.put(id, sequence);
@@ -267,9 +267,9 @@
                 && sequence.state != Sequence.State.CANCELLED
                 && sequence.state != Sequence.State.ABANDONED;
         if (!resumable) {
-            StandinHost.error(request, 404, "generation is not known");
+            StandinHost.respondError(request, 404, "generation is not known");
         } else if (from < 0 || from > sequence.generated) {
-            StandinHost.error(request, 400, "from must be within 0.." + sequence.generated);
+            StandinHost.respondError(request, 400, "from must be within 0.." + sequence.generated);
         } else {
             attach(request, sequence, from);
         }
@@ -279,14 +279,14 @@
         Sequence sequence = sequences.get(id);
         int number = Integer.parseInt(request.getParam("attachment", "0"));
         if (sequence == null) {
-            StandinHost.error(request, 404, "generation is not known");
+            StandinHost.respondError(request, 404, "generation is not known");
             return;
         }
         if (number < sequence.attachmentCount) {
             recordEvent(
                     "cancel-refused",
                     new JsonObject().put("generation", id.value()).put("attachment", number));
-            StandinHost.error(request, 409, "attachment " + sequence.attachmentCount + " is newer");
+            StandinHost.respondError(request, 409, "attachment " + sequence.attachmentCount + " is newer");
             return;
         }
         if (!sequence.isFinal()) {
@@ -306,7 +306,7 @@
                 refused ? "order-refused" : "order",
                 body.copy().put("old", outdated).put("highest", models.highestFence()));
         if (refused) {
-            StandinHost.error(request, 409, "fencing number " + models.highestFence() + " was already received");
+            StandinHost.respondError(request, 409, "fencing number " + models.highestFence() + " was already received");
             return;
         }
         if (body.getString("role") != null) {
@@ -326,8 +326,8 @@
         long now = System.nanoTime();
         long start = now - plannedStepEndNanos < MAX_TIMER_LAG_NANOS ? plannedStepEndNanos : now;
         plannedStepEndNanos = start + (long) (scheduler.beginStep(options) * 1e6);
-        long delay = Math.max(1, Math.round((plannedStepEndNanos - now) / 1e6));
-        host.vertx().setTimer(delay, ignored -> endStep());
+        long delayMs = Math.max(1, Math.round((plannedStepEndNanos - now) / 1e6));
+        host.vertx().setTimer(delayMs, ignored -> endStep());
     }
 
     private void endStep() {
--- a/tools/src/main/java/org/verbenatally/standin/History.java
+++ b/tools/src/main/java/org/verbenatally/standin/History.java
@@ -13,15 +13,15 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * What a stand-in did, as JSON objects in the order of events. Each has {@code event}, {@code ms} (epoch milliseconds)
- * and {@code nanos} (monotonic clock; comparable between processes of one machine).
+ * Events of a stand-in as JSON objects, in order of occurrence. Each has the members {@code event}, {@code source},
+ * {@code ms} (epoch milliseconds) and {@code nanos} (monotonic clock, comparable between processes on one machine).
  *
- * <p>With a file, each event is written through before the call returns, so that the history of a process that is
- * killed is whole up to its death.
+ * <p>If a file is given, each event is written to it before the call returns, so the history of a killed process is
+ * complete up to its end.
  */
 final class History {
-    /** Bounds memory in long runs; the oldest events are dropped and counted. */
-    private static final int MAX_EVENTS = 500_000;
+    /** Limits memory use in long runs: beyond this number, the oldest events are dropped and counted. */
+    private static final int MAX_RETAINED_EVENTS = 500_000;
 
     private final String source;
     private final Path file;
@@ -32,14 +32,14 @@
      * Creates an empty history.
      *
      * @param source id of the stand-in, added to each event
-     * @param file path of a file to append to; empty: memory only
+     * @param file path of a file to which events are appended; empty: events are kept in memory only
      */
     History(String source, String file) {
         this.source = source;
         this.file = file.isEmpty() ? null : Path.of(file);
     }
 
-    /** Adds an event; the caller's object gains the source and the two times. */
+    /** Adds an event with the source and the current times to the history. {@code details} is not changed. */
     synchronized void add(String event, JsonObject details) {
         JsonObject line = new JsonObject()
                 .put("event", event)
@@ -48,16 +48,16 @@
                 .put("nanos", System.nanoTime())
                 .mergeIn(details);
         events.addLast(line);
-        if (events.size() > MAX_EVENTS) {
+        if (events.size() > MAX_RETAINED_EVENTS) {
             events.removeFirst();
             dropped++;
         }
         if (file != null) {
-            write(line);
+            appendToFile(line);
         }
     }
 
-    private void write(JsonObject line) {
+    private void appendToFile(JsonObject line) {
         try {
             Files.writeString(
                     file,
@@ -75,12 +75,12 @@
         return events.stream().map(JsonObject::copy).toList();
     }
 
-    /** Returns the number of events that no longer fit. */
+    /** Returns the number of events that were dropped to limit memory use. */
     synchronized long dropped() {
         return dropped;
     }
 
-    /** Returns the retained events, one JSON object a line. */
+    /** Returns the retained events, one JSON object per line. */
     synchronized String lines() {
         StringBuilder text = new StringBuilder();
         events.forEach(e -> text.append(e.encode()).append('\n'));
--- a/tools/src/main/java/org/verbenatally/standin/PlatformOptions.java
+++ b/tools/src/main/java/org/verbenatally/standin/PlatformOptions.java
@@ -3,14 +3,14 @@
 /**
  * Options of the platform stand-in.
  *
- * @param id name in the history
- * @param host IP number to listen on
- * @param port port; 0 takes a free one
- * @param instanceLagMs time until a change of the instance list shows, in milliseconds
- * @param readsPerSecond reads that are answered within one second, over all readers; more get status 429
+ * @param id source id in the history
+ * @param host IP address to listen on
+ * @param port port to listen on; 0: any free port
+ * @param instanceLagMs time until a change of the instance list becomes visible, in milliseconds
+ * @param readsPerSecond maximum number of reads served per second, over all readers; further ones get status 429
  * @param maxWaitMs longest time that a watch waits, in milliseconds
- * @param weightLoadMs time that the weight store is busy with one load; loads queue up
- * @param history file to append the history to; empty: memory only
+ * @param weightLoadMs time for which one load occupies the weight store, in milliseconds; loads are queued
+ * @param history file to which the history is appended; empty: the history is kept in memory only
  */
 public record PlatformOptions(
         String id,
@@ -27,10 +27,10 @@
         return new PlatformOptions("platform", "127.0.0.1", 0, 2_000, 2_000, 60_000, 2_000, "");
     }
 
-    /** Checks ranges. */
+    /** Checks that the values are within their ranges. */
     public PlatformOptions {
         if (instanceLagMs < 0 || readsPerSecond < 1 || maxWaitMs < 0 || weightLoadMs < 0) {
-            throw new IllegalArgumentException("platform options must not be negative, readsPerSecond at least 1");
+            throw new IllegalArgumentException("platform options must not be negative, and readsPerSecond at least 1");
         }
     }
 }
--- a/tools/src/main/java/org/verbenatally/standin/PlatformStandin.java
+++ b/tools/src/main/java/org/verbenatally/standin/PlatformStandin.java
@@ -10,11 +10,11 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * Stand-in for the platform: the configuration service, the list of instances and the weight store.
+ * Stand-in for the platform: configuration service, instance list and weight store.
  *
  * <p>Admin: {@code PUT /admin/config} (header {@code Config-Version}), {@code PUT} and {@code DELETE
  * /admin/instances/{id}}, {@code PUT /admin/mode} with {@code {"mode":"up"|"down"|"stale"|"hang","version":n}},
- * {@code PATCH /admin/options}, {@code GET /admin/counts}, {@code GET /admin/history}. Admin routes work in each mode.
+ * {@code PATCH /admin/options}, {@code GET /admin/counts}, {@code GET /admin/history}. Admin routes work in all modes.
  */
 public final class PlatformStandin implements AutoCloseable {
     private record Watch(HttpServerRequest request, long after, long timer) {}
@@ -26,12 +26,12 @@
     private final TreeMap<Long, String> documents = new TreeMap<>();
     private final List<Watch> watches = new ArrayList<>();
     private final List<InstanceChange> changes = new ArrayList<>();
-    private final Map<String, JsonObject> visible = new TreeMap<>();
-    private final ReadCounter reads = new ReadCounter();
+    private final Map<String, JsonObject> visibleInstances = new TreeMap<>();
+    private final ReadCounter readCounter = new ReadCounter();
     private PlatformOptions options;
     private String mode = "up";
-    private long pinned;
-    private long storeFreeAtNanos = System.nanoTime();
+    private long staleVersion;
+    private long weightStoreFreeAtNanos = System.nanoTime();
 
     /** Creates a stopped stand-in without a document and without instances. */
     public PlatformStandin(PlatformOptions options) {
@@ -42,46 +42,46 @@
 
     /** Starts listening and returns the bound port. */
     public int start() {
-        return host.start(this::handle);
+        return host.start(this::handleRequest);
     }
 
-    /** Publishes a document and answers the watches that wait for it. The document is not checked. */
+    /** Publishes a document and responds to the watches that wait for it. The document is not validated. */
     public void publish(long version, String document) {
-        host.call(() -> store(version, document));
+        host.call(() -> storeDocument(version, document));
     }
 
     /**
-     * Adds or replaces an instance; it shows in the list after the lag.
+     * Adds or replaces an instance; the change becomes visible in the list after the lag.
      *
-     * @param id its id
-     * @param instance members as the protocol shows them; {@code id} is added
+     * @param id id of the instance
+     * @param instance members of the instance as listed by the protocol; {@code id} is added
      */
     public void putInstance(String id, JsonObject instance) {
         host.call(() -> changeInstance(id, instance.copy().put("id", id)));
     }
 
-    /** Removes an instance; it leaves the list after the lag. */
+    /** Removes an instance; it disappears from the list after the lag. */
     public void removeInstance(String id) {
         host.call(() -> changeInstance(id, null));
     }
 
     /**
-     * Changes how reads are answered.
+     * Changes how reads are served.
      *
      * @param mode {@code up}, {@code down} (connections are closed), {@code stale} (serves an older document) or
-     *     {@code hang} (no answer)
-     * @param version the document that is served when stale; 0: the one before the newest
+     *     {@code hang} (no response)
+     * @param version version of the document served in mode {@code stale}; 0: the one before the newest
      */
-    public void mode(String mode, long version) {
+    public void changeMode(String mode, long version) {
         host.call(() -> setMode(mode, version));
     }
 
     /** Returns the read counters, as {@code GET /admin/counts} does. */
     public JsonObject counts() {
-        return host.call(() -> reads.toJson().put("waiting", watches.size()));
+        return host.call(() -> readCounter.toJson().put("waiting", watches.size()));
     }
 
-    /** Returns the history so far. */
+    /** Returns a copy of the recorded events. */
     public List<JsonObject> history() {
         return history.events();
     }
@@ -91,44 +91,44 @@
         host.close();
     }
 
-    private void handle(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         if (request.path().startsWith("/admin/")) {
-            admin(request);
+            handleAdmin(request);
         } else if (mode.equals("down")) {
             request.connection().close();
         } else if (!mode.equals("hang")) {
-            read(request);
+            handleRead(request);
         }
     }
 
-    private void read(HttpServerRequest request) {
+    private void handleRead(HttpServerRequest request) {
         String kind = request.path().startsWith("/v1/weights/") ? "/v1/weights" : request.path();
-        if (!reads.take(kind, options.readsPerSecond())) {
-            StandinHost.error(request, 429, "more than " + options.readsPerSecond() + " reads a second");
+        if (!readCounter.tryAcquire(kind, options.readsPerSecond())) {
+            StandinHost.respondError(request, 429, "more than " + options.readsPerSecond() + " reads per second");
             return;
         }
         switch (kind) {
-            case "/v1/config" -> readConfig(request);
-            case "/v1/instances" -> readInstances(request);
-            case "/v1/weights" -> readWeights(request);
-            default -> StandinHost.error(request, 404, "no route " + request.path());
+            case "/v1/config" -> serveConfig(request);
+            case "/v1/instances" -> serveInstances(request);
+            case "/v1/weights" -> serveWeights(request);
+            default -> StandinHost.respondError(request, 404, "no route " + request.path());
         }
     }
 
-    private void readConfig(HttpServerRequest request) {
-        long after = number(request, "after");
-        long wait = Math.min(number(request, "waitMs"), options.maxWaitMs());
-        if (!answerConfig(request, after)) {
-            if (wait == 0) {
+    private void serveConfig(HttpServerRequest request) {
+        long after = nonNegativeParam(request, "after");
+        long waitMs = Math.min(nonNegativeParam(request, "waitMs"), options.maxWaitMs());
+        if (!respondConfig(request, after)) {
+            if (waitMs == 0) {
                 request.response().setStatusCode(304).end();
                 return;
             }
-            long timer = host.vertx().setTimer(wait, this::expire);
+            long timer = host.vertx().setTimer(waitMs, this::expireWatch);
             watches.add(new Watch(request, after, timer));
         }
     }
 
-    private void expire(long timer) {
+    private void expireWatch(long timer) {
         watches.stream().filter(w -> w.timer() == timer).findFirst().ifPresent(watch -> {
             watches.remove(watch);
             if (!watch.request().response().closed()) {
@@ -137,58 +137,59 @@
         });
     }
 
-    private boolean answerConfig(HttpServerRequest request, long after) {
-        Long version = mode.equals("stale") ? documents.floorKey(pinned) : lastVersion();
+    /** Responds with the current document if it is newer than {@code after}; returns whether it is. */
+    private boolean respondConfig(HttpServerRequest request, long after) {
+        Long version = mode.equals("stale") ? documents.floorKey(staleVersion) : newestVersion();
         if (version == null || version <= after) {
             return false;
         }
         if (!request.response().closed()) {
             request.response().putHeader("Config-Version", Long.toString(version));
-            StandinHost.json(request, 200, documents.get(version));
+            StandinHost.respondJson(request, 200, documents.get(version));
         }
         return true;
     }
 
-    private Long lastVersion() {
+    private Long newestVersion() {
         return documents.isEmpty() ? null : documents.lastKey();
     }
 
-    private void answerWatches() {
+    private void respondToWatches() {
         for (Watch watch : List.copyOf(watches)) {
-            if (answerConfig(watch.request(), watch.after())) {
+            if (respondConfig(watch.request(), watch.after())) {
                 watches.remove(watch);
                 host.vertx().cancelTimer(watch.timer());
             }
         }
     }
 
-    private void readInstances(HttpServerRequest request) {
+    private void serveInstances(HttpServerRequest request) {
         long now = System.nanoTime();
         changes.removeIf(change -> {
             if (change.visibleAtNanos() - now > 0) {
                 return false;
             }
             if (change.instance() == null) {
-                visible.remove(change.id());
+                visibleInstances.remove(change.id());
             } else {
-                visible.put(change.id(), change.instance());
+                visibleInstances.put(change.id(), change.instance());
             }
             return true;
         });
-        StandinHost.json(request, 200, new JsonArray(List.copyOf(visible.values())).encode());
+        StandinHost.respondJson(request, 200, new JsonArray(List.copyOf(visibleInstances.values())).encode());
     }
 
-    /** Answers when the store has served the load; loads are served one after the other. */
-    private void readWeights(HttpServerRequest request) {
+    /** Responds when the store has finished the load. Loads are served one after the other. */
+    private void serveWeights(HttpServerRequest request) {
         long now = System.nanoTime();
-        long start = Math.max(now, storeFreeAtNanos);
-        storeFreeAtNanos = start + options.weightLoadMs() * 1_000_000;
+        long start = Math.max(now, weightStoreFreeAtNanos);
+        weightStoreFreeAtNanos = start + options.weightLoadMs() * 1_000_000;
         history.add("weights", new JsonObject().put("path", request.path()));
-        long delay = (storeFreeAtNanos - now) / 1_000_000;
-        host.vertx().setTimer(Math.max(1, delay), ignored -> StandinHost.json(request, 200, "{}"));
+        long delayMs = (weightStoreFreeAtNanos - now) / 1_000_000;
+        host.vertx().setTimer(Math.max(1, delayMs), ignored -> StandinHost.respondJson(request, 200, "{}"));
     }
 
-    private void admin(HttpServerRequest request) {
+    private void handleAdmin(HttpServerRequest request) {
         String path = request.path();
         String route = request.method().name() + " " + path;
         if (path.startsWith("/admin/instances/")) {
@@ -203,7 +204,7 @@
             case "PUT /admin/config" -> {
                 long version = Long.parseLong(request.getHeader("Config-Version"));
                 request.body().onSuccess(body -> {
-                    store(version, body.toString());
+                    storeDocument(version, body.toString());
                     request.response().setStatusCode(204).end();
                 });
             }
@@ -218,17 +219,17 @@
                     request.response().setStatusCode(204).end();
                 });
             case "GET /admin/counts" ->
-                StandinHost.json(request, 200, reads.toJson().put("waiting", watches.size()));
+                StandinHost.respondJson(request, 200, readCounter.toJson().put("waiting", watches.size()));
             case "GET /admin/history" -> request.response().end(history.lines());
-            default -> StandinHost.error(request, 404, "no route " + route);
+            default -> StandinHost.respondError(request, 404, "no route " + route);
         }
     }
 
-    private boolean store(long version, String document) {
+    private boolean storeDocument(long version, String document) {
         documents.put(version, document);
         history.add("config", new JsonObject().put("version", version).put("bytes", document.length()));
         if (mode.equals("up")) {
-            answerWatches();
+            respondToWatches();
         }
         return true;
     }
@@ -243,24 +244,24 @@
         switch (newMode == null ? "" : newMode) {
             case "up", "down", "hang" -> mode = newMode;
             case "stale" -> {
-                Long last = lastVersion();
-                Long before = last == null ? null : documents.lowerKey(last);
-                pinned = version > 0 ? version : before != null ? before : 0;
+                Long newest = newestVersion();
+                Long previous = newest == null ? null : documents.lowerKey(newest);
+                staleVersion = version > 0 ? version : previous != null ? previous : 0;
                 mode = newMode;
             }
             default -> throw new IllegalArgumentException("mode must be up, down, stale or hang");
         }
-        history.add("mode", new JsonObject().put("mode", mode).put("version", pinned));
+        history.add("mode", new JsonObject().put("mode", mode).put("version", staleVersion));
         if (mode.equals("down")) {
             watches.forEach(watch -> watch.request().connection().close());
             watches.clear();
         } else if (mode.equals("up")) {
-            answerWatches();
+            respondToWatches();
         }
         return true;
     }
 
-    private static long number(HttpServerRequest request, String name) {
+    private static long nonNegativeParam(HttpServerRequest request, String name) {
         String text = request.getParam(name);
         if (text == null) {
             return 0;
--- a/tools/src/main/java/org/verbenatally/standin/ReadCounter.java
+++ b/tools/src/main/java/org/verbenatally/standin/ReadCounter.java
@@ -4,25 +4,25 @@
 
 import io.vertx.core.json.JsonObject;
 
-/** Counts the platform's reads by route and refuses those above the rate of the current second. */
+/** Counts reads of the platform by route and limits their number in each second. */
 final class ReadCounter {
-    private final TreeMap<String, Long> total = new TreeMap<>();
-    private long second;
-    private int inSecond;
-    private int peak;
+    private final TreeMap<String, Long> readsByRoute = new TreeMap<>();
+    private long currentSecond;
+    private int readsInSecond;
+    private int peakPerSecond;
     private long refused;
 
-    /** Counts a read and returns whether it is within the rate. */
-    boolean take(String route, int readsPerSecond) {
-        total.merge(route, 1L, Long::sum);
+    /** Counts a read and returns whether it is within the limit for the current second. */
+    boolean tryAcquire(String route, int readsPerSecond) {
+        readsByRoute.merge(route, 1L, Long::sum);
         long now = System.nanoTime() / 1_000_000_000;
-        if (now != second) {
-            second = now;
-            inSecond = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            readsInSecond = 0;
         }
-        inSecond++;
-        peak = Math.max(peak, inSecond);
-        if (inSecond > readsPerSecond) {
+        readsInSecond++;
+        peakPerSecond = Math.max(peakPerSecond, readsInSecond);
+        if (readsInSecond > readsPerSecond) {
             refused++;
             return false;
         }
@@ -31,7 +31,10 @@
 
     JsonObject toJson() {
         JsonObject reads = new JsonObject();
-        total.forEach(reads::put);
-        return new JsonObject().put("reads", reads).put("peakPerSecond", peak).put("refused", refused);
+        readsByRoute.forEach(reads::put);
+        return new JsonObject()
+                .put("reads", reads)
+                .put("peakPerSecond", peakPerSecond)
+                .put("refused", refused);
     }
 }
--- a/tools/src/main/java/org/verbenatally/standin/RelayAdmin.java
+++ b/tools/src/main/java/org/verbenatally/standin/RelayAdmin.java
@@ -8,9 +8,9 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * Admin HTTP server of a relay that runs as a process: {@code POST /admin/cut}, {@code POST /admin/heal} and {@code PUT
- * /admin/faults} with {@code {"refuse":bool, "silence":"none"|"open"|"new"|"all", "direction":"both"|"to-target"|
- * "to-client", "delayMs":n}}.
+ * Admin HTTP server of a relay that runs as a process: {@code POST /admin/cut}, {@code POST /admin/heal}, {@code GET
+ * /admin/state} and {@code PUT /admin/faults} with {@code {"refuse":bool, "silence":"none"|"open"|"new"|"all",
+ * "direction":"both"|"to-target"|"to-client", "delayMs":n}}.
  */
 public final class RelayAdmin implements AutoCloseable {
     private final TcpRelay relay;
@@ -24,7 +24,7 @@
 
     /** Starts listening and returns the bound port. */
     public int start() {
-        return host.start(this::handle);
+        return host.start(this::handleRequest);
     }
 
     @Override
@@ -32,29 +32,29 @@
         host.close();
     }
 
-    private void handle(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         String route = request.method().name() + " " + request.path();
         switch (route) {
             case "POST /admin/cut" -> {
                 relay.cut();
-                done(request);
+                respondNoContent(request);
             }
             case "POST /admin/heal" -> {
                 relay.heal();
-                done(request);
+                respondNoContent(request);
             }
             case "PUT /admin/faults" ->
                 StandinHost.readJson(request, body -> {
-                    apply(body);
-                    done(request);
+                    applyFaults(body);
+                    respondNoContent(request);
                 });
             case "GET /admin/state" ->
-                StandinHost.json(request, 200, new JsonObject().put("connections", relay.connections()));
-            default -> StandinHost.error(request, 404, "no route " + route);
+                StandinHost.respondJson(request, 200, new JsonObject().put("connections", relay.connections()));
+            default -> StandinHost.respondError(request, 404, "no route " + route);
         }
     }
 
-    private void apply(JsonObject body) {
+    private void applyFaults(JsonObject body) {
         String direction = body.getString("direction", "both");
         Set<TcpRelay.Direction> directions = direction.equals("both")
                 ? EnumSet.allOf(TcpRelay.Direction.class)
@@ -72,14 +72,14 @@
             default -> throw new IllegalArgumentException("silence must be none, open, new or all");
         }
         if (body.containsKey("refuse")) {
-            relay.refuse(body.getBoolean("refuse"));
+            relay.setRefusing(body.getBoolean("refuse"));
         }
         if (body.containsKey("delayMs")) {
-            relay.delay(body.getLong("delayMs"));
+            relay.setDelay(body.getLong("delayMs"));
         }
     }
 
-    private static void done(HttpServerRequest request) {
+    private static void respondNoContent(HttpServerRequest request) {
         request.response().setStatusCode(204).end();
     }
 }
--- a/tools/src/main/java/org/verbenatally/standin/RelayConnection.java
+++ b/tools/src/main/java/org/verbenatally/standin/RelayConnection.java
@@ -11,57 +11,59 @@
 
 import org.verbenatally.standin.TcpRelay.Direction;
 
-/** One relayed connection: a reader and a writer for each direction, with a queue between them that holds the delay. */
+/** One relayed connection: for each direction a reader and a writer, with a queue between them that adds the delay. */
 final class RelayConnection {
     private static final int BUFFER_BYTES = 16_384;
-    private static final int QUEUED_CHUNKS = 1_024;
+    private static final int MAX_QUEUED_CHUNKS = 1_024;
 
-    /** Bytes and the time at which they may be written; no bytes: the end of the stream. */
+    /** Bytes and the time after which they may be written; an empty array marks the end of the stream. */
     private record Chunk(long dueNanos, byte[] bytes) {}
 
     private final TcpRelay relay;
     private final Socket client;
     private final Socket target;
-    private volatile Set<Direction> silent;
+    private volatile Set<Direction> silentDirections;
     private int openDirections = 2;
 
-    RelayConnection(TcpRelay relay, Socket client, Socket target, Set<Direction> silent) {
+    RelayConnection(TcpRelay relay, Socket client, Socket target, Set<Direction> silentDirections) {
         this.relay = relay;
         this.client = client;
         this.target = target;
-        this.silent = silent;
+        this.silentDirections = silentDirections;
     }
 
-    void run() throws IOException {
+    /** Starts relaying in both directions and returns. */
+    void startPumps() throws IOException {
         client.setTcpNoDelay(true);
         target.setTcpNoDelay(true);
         pump(client, target, Direction.TO_TARGET);
         pump(target, client, Direction.TO_CLIENT);
     }
 
+    /** Drops all bytes in the given directions, permanently and in addition to those already silent. */
     synchronized void silence(Set<Direction> directions) {
-        EnumSet<Direction> all = EnumSet.noneOf(Direction.class);
-        all.addAll(silent);
-        all.addAll(directions);
-        silent = all;
+        EnumSet<Direction> silenced = EnumSet.noneOf(Direction.class);
+        silenced.addAll(silentDirections);
+        silenced.addAll(directions);
+        silentDirections = silenced;
     }
 
     /** Closes both sides with a reset. */
     void reset() {
-        relay.closed(this);
+        relay.onClosed(this);
         for (Socket socket : new Socket[] {client, target}) {
             try {
                 socket.setSoLinger(true, 0);
                 socket.close();
             } catch (IOException e) {
-                // The socket is closed already.
+                // The socket is already closed.
                 continue;
             }
         }
     }
 
     private void pump(Socket from, Socket to, Direction direction) {
-        BlockingQueue<Chunk> queue = new LinkedBlockingQueue<>(QUEUED_CHUNKS);
+        BlockingQueue<Chunk> queue = new LinkedBlockingQueue<>(MAX_QUEUED_CHUNKS);
         Thread.ofVirtual().name("relay-read").start(() -> read(from, queue));
         Thread.ofVirtual().name("relay-write").start(() -> write(to, queue, direction));
     }
@@ -78,7 +80,7 @@
                 }
             }
         } catch (IOException e) {
-            failed();
+            onIoError();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -95,33 +97,34 @@
                     continue;
                 }
                 TimeUnit.NANOSECONDS.sleep(chunk.dueNanos() - System.nanoTime());
-                if (silent.contains(direction)) {
+                if (silentDirections.contains(direction)) {
                     continue;
                 }
                 if (chunk.bytes().length == 0) {
-                    finish(to);
+                    endStream(to);
                     return;
                 }
                 to.getOutputStream().write(chunk.bytes());
             }
         } catch (IOException e) {
-            failed();
+            onIoError();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** A silent connection does not pass on that the other side is gone. */
-    private void failed() {
-        if (silent.isEmpty()) {
+    /** Resets the connection, unless it is silent: then the failure of one side is not passed on to the other. */
+    private void onIoError() {
+        if (silentDirections.isEmpty()) {
             reset();
         }
     }
 
-    private synchronized void finish(Socket to) throws IOException {
+    /** Passes the end of a stream on; closes the connection when both directions have ended. */
+    private synchronized void endStream(Socket to) throws IOException {
         openDirections--;
         if (openDirections == 0) {
-            relay.closed(this);
+            relay.onClosed(this);
             client.close();
             target.close();
         } else {
--- a/tools/src/main/java/org/verbenatally/standin/ServiceStandin.java
+++ b/tools/src/main/java/org/verbenatally/standin/ServiceStandin.java
@@ -10,9 +10,9 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * Stand-in for a plain service. It runs every call it gets, also a repeated one, so that the history shows doubled
- * runs. A member {@code work} of the body is recorded and returned, so that a checker can match runs with what callers
- * sent.
+ * Stand-in for a plain service. It runs every call that it receives, including duplicates, so that the history shows
+ * work that ran twice. A member {@code work} of the body is recorded and returned, so that a checker can match runs
+ * with what callers sent.
  *
  * <p>Admin: {@code GET /admin/history}, {@code PATCH /admin/options} (members of {@link ServiceOptions}),
  * {@code POST /admin/drop-connections}.
@@ -39,20 +39,20 @@
 
     /** Starts listening and returns the bound port. */
     public int start() {
-        return host.start(this::handle);
+        return host.start(this::handleRequest);
     }
 
-    /** Replaces options by name at run time. */
+    /** Changes options by name at run time. */
     public void change(Map<String, ?> changes) {
         host.call(() -> options = OptionRecords.with(options, changes));
     }
 
-    /** Returns the history so far. */
+    /** Returns a copy of the recorded events. */
     public List<JsonObject> history() {
         return history.events();
     }
 
-    /** Drops the listener and all connections as a dying process does. */
+    /** Drops the listener and all connections, as a dying process does. */
     public void crash() {
         host.abort();
     }
@@ -62,16 +62,16 @@
         host.close();
     }
 
-    private void handle(HttpServerRequest request) {
+    private void handleRequest(HttpServerRequest request) {
         String path = request.path();
         String route = request.method().name() + " " + path;
         if (route.startsWith("POST /v1/calls/")) {
             String kind = path.substring("/v1/calls/".length());
-            StandinHost.readJson(request, body -> accept(request, kind, body));
+            StandinHost.readJson(request, body -> acceptCall(request, kind, body));
             return;
         }
         switch (route) {
-            case "GET /v1/load" -> StandinHost.json(request, 200, load());
+            case "GET /v1/load" -> StandinHost.respondJson(request, 200, load());
             case "GET /admin/history" -> request.response().end(history.lines());
             case "PATCH /admin/options" ->
                 StandinHost.readJson(request, body -> {
@@ -79,7 +79,7 @@
                     request.response().setStatusCode(204).end();
                 });
             case "POST /admin/drop-connections" -> host.dropConnections(request);
-            default -> StandinHost.error(request, 404, "no route " + route);
+            default -> StandinHost.respondError(request, 404, "no route " + route);
         }
     }
 
@@ -93,19 +93,19 @@
                 .put("leaving", options.leaving());
     }
 
-    private void accept(HttpServerRequest request, String kind, JsonObject body) {
+    private void acceptCall(HttpServerRequest request, String kind, JsonObject body) {
         String id = request.getHeader("Call-Id");
         if (id == null || id.isEmpty()) {
-            StandinHost.error(request, 400, "header Call-Id is required");
+            StandinHost.respondError(request, 400, "header Call-Id is required");
             return;
         }
         if (options.leaving() || waiting.size() >= options.maxWaiting() && running >= options.maxRunning()) {
             String reason = options.leaving() ? "leaving" : "full";
             history.add("refused", new JsonObject().put("call", id).put("reason", reason));
-            StandinHost.notRun(request, reason);
+            StandinHost.respondNotRun(request, reason);
             return;
         }
-        if (options.fault().endsWith("-before-run") && takeFault()) {
+        if (options.fault().endsWith("-before-run") && consumeFault()) {
             history.add("fault", new JsonObject().put("call", id).put("fault", options.fault()));
             if (options.fault().startsWith("reset")) {
                 request.connection().close();
@@ -113,10 +113,11 @@
             return;
         }
         waiting.addLast(new Call(request, id, kind, body));
-        runNext();
+        runWaiting();
     }
 
-    private boolean takeFault() {
+    /** Returns whether the fault affects the current call, and decrements the number of remaining calls if limited. */
+    private boolean consumeFault() {
         if (options.faultCount() == 0) {
             return false;
         }
@@ -126,7 +127,7 @@
         return true;
     }
 
-    private void runNext() {
+    private void runWaiting() {
         while (running < options.maxRunning() && !waiting.isEmpty()) {
             Call call = waiting.removeFirst();
             running++;
@@ -139,34 +140,35 @@
                     .put("startMs", System.currentTimeMillis())
                     .put("startNanos", System.nanoTime());
             history.add("start", run);
-            long time = options.serviceMs() + (options.jitterMs() == 0 ? 0 : random.nextLong(options.jitterMs() + 1));
-            host.vertx().setTimer(Math.max(1, time), ignored -> finish(call, run));
+            long durationMs =
+                    options.serviceMs() + (options.jitterMs() == 0 ? 0 : random.nextLong(options.jitterMs() + 1));
+            host.vertx().setTimer(Math.max(1, durationMs), ignored -> endCall(call, run));
         }
     }
 
-    private void finish(Call call, JsonObject run) {
+    private void endCall(Call call, JsonObject run) {
         running--;
-        boolean faulty = options.fault().endsWith("-after-run") && takeFault();
-        boolean gone = call.request().response().closed();
-        JsonObject answer = new JsonObject()
+        boolean faultApplies = options.fault().endsWith("-after-run") && consumeFault();
+        boolean callerGone = call.request().response().closed();
+        JsonObject responseBody = new JsonObject()
                 .put("call", call.id())
                 .put("kind", call.kind())
                 .put("work", run.getValue("work"))
                 .put("target", options.id())
                 .put("serial", run.getLong("serial"));
-        String ended = faulty ? options.fault() : gone ? "caller-gone" : "done";
+        String ended = faultApplies ? options.fault() : callerGone ? "caller-gone" : "done";
         history.add(
                 "end",
                 run.copy()
                         .put("endMs", System.currentTimeMillis())
                         .put("endNanos", System.nanoTime())
                         .put("ended", ended)
-                        .put("answer", answer.encode()));
-        if (!faulty) {
-            StandinHost.json(call.request(), 200, answer);
+                        .put("answer", responseBody.encode()));
+        if (!faultApplies) {
+            StandinHost.respondJson(call.request(), 200, responseBody);
         } else if (options.fault().startsWith("reset")) {
             call.request().connection().close();
         }
-        runNext();
+        runWaiting();
     }
 }
--- a/tools/src/main/java/org/verbenatally/standin/StandinHost.java
+++ b/tools/src/main/java/org/verbenatally/standin/StandinHost.java
@@ -20,12 +20,12 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * HTTP server of a stand-in with a single event loop: all handlers, timers and {@link #call} bodies run on one thread,
- * so stand-ins need no locks.
+ * HTTP server of a stand-in with a single event loop. All handlers, timers and tasks of {@link #call} run on one
+ * thread, so stand-ins need no locks.
  */
 final class StandinHost implements AutoCloseable {
     private static final long MAX_BODY_BYTES = 16L << 20;
-    private static final long STOP_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final String host;
     private final int port;
@@ -67,7 +67,7 @@
                     try {
                         handler.handle(request);
                     } catch (IllegalArgumentException | ClassCastException | DecodeException e) {
-                        error(request, 400, e.getMessage());
+                        respondError(request, 400, e.getMessage());
                     }
                 });
         await(server.listen().toCompletionStage().toCompletableFuture());
@@ -75,12 +75,12 @@
         return boundPort;
     }
 
-    /** Runs a body on the event loop and returns its result; for callers on other threads. */
-    <T> T call(Callable<T> body) {
+    /** Runs a task on the event loop and returns its result. Must be called from another thread. */
+    <T> T call(Callable<T> task) {
         CompletableFuture<T> result = new CompletableFuture<>();
         context.runOnContext(ignored -> {
             try {
-                result.complete(body.call());
+                result.complete(task.call());
             } catch (Exception e) {
                 result.completeExceptionally(e);
             }
@@ -88,7 +88,7 @@
         return await(result);
     }
 
-    /** Closes the listener and resets all connections, as a dying process does. Returns at once. */
+    /** Closes the listener and all connections, as a dying process does. Returns without waiting for this. */
     void abort() {
         context.runOnContext(ignored -> {
             server.close();
@@ -100,7 +100,7 @@
         Set.copyOf(connections).forEach(HttpConnection::close);
     }
 
-    /** Closes all open connections but that of the request, and answers it; the listener stays. */
+    /** Closes all open connections except that of the request, and answers the request; the listener stays open. */
     void dropConnections(HttpServerRequest request) {
         Set.copyOf(connections).stream()
                 .filter(connection -> connection != request.connection())
@@ -115,7 +115,7 @@
 
     private static <T> T await(CompletableFuture<T> future) {
         try {
-            return future.get(STOP_SECONDS, TimeUnit.SECONDS);
+            return future.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IllegalStateException("interrupted", e);
@@ -125,27 +125,30 @@
             }
             throw new IllegalStateException(e.getCause().getMessage(), e.getCause());
         } catch (TimeoutException e) {
-            throw new IllegalStateException("stand-in did not answer within " + STOP_SECONDS + " s", e);
+            throw new IllegalStateException("stand-in did not respond within " + TIMEOUT_SECONDS + " s", e);
         }
     }
 
-    /** Reads a JSON body and hands it on; answers 400 or 413 itself if that fails. An empty body is an empty object. */
+    /**
+     * Reads a JSON body and passes it to a handler; responds with status 400 or 413 if that fails. An empty body is
+     * read as an empty object.
+     */
     static void readJson(HttpServerRequest request, Handler<JsonObject> handler) {
         String length = request.getHeader("Content-Length");
         if (length != null && Long.parseLong(length) > MAX_BODY_BYTES) {
-            error(request, 413, "body must be at most " + MAX_BODY_BYTES + " bytes");
+            respondError(request, 413, "body must be at most " + MAX_BODY_BYTES + " bytes");
             return;
         }
         request.body().onSuccess(body -> {
             try {
                 handler.handle(body.length() == 0 ? new JsonObject() : new JsonObject(body));
             } catch (DecodeException | IllegalArgumentException | ClassCastException | NullPointerException e) {
-                error(request, 400, String.valueOf(e.getMessage()));
+                respondError(request, 400, String.valueOf(e.getMessage()));
             }
         });
     }
 
-    static void json(HttpServerRequest request, int status, String body) {
+    static void respondJson(HttpServerRequest request, int status, String body) {
         if (!request.response().ended() && !request.response().closed()) {
             request.response()
                     .setStatusCode(status)
@@ -154,15 +157,15 @@
         }
     }
 
-    static void json(HttpServerRequest request, int status, JsonObject body) {
-        json(request, status, body.encode());
+    static void respondJson(HttpServerRequest request, int status, JsonObject body) {
+        respondJson(request, status, body.encode());
     }
 
-    static void error(HttpServerRequest request, int status, String message) {
-        json(request, status, new JsonObject().put("error", message));
+    static void respondError(HttpServerRequest request, int status, String message) {
+        respondJson(request, status, new JsonObject().put("error", message));
     }
 
-    static void notRun(HttpServerRequest request, String reason) {
-        json(request, 503, new JsonObject().put("reason", reason));
+    static void respondNotRun(HttpServerRequest request, String reason) {
+        respondJson(request, 503, new JsonObject().put("reason", reason));
     }
 }
--- a/tools/src/main/java/org/verbenatally/standin/StandinMain.java
+++ b/tools/src/main/java/org/verbenatally/standin/StandinMain.java
@@ -21,14 +21,14 @@
 
 /**
  * Runs one stand-in as a process: {@code engine}, {@code service}, {@code platform} or {@code relay}. Prints {@code
- * listening HOST:PORT} when it is ready and stops at SIGTERM. Status 2: wrong arguments.
+ * listening HOST:PORT} when it is ready and stops on SIGTERM. Exits with status 2 if the arguments are invalid.
  */
 public final class StandinMain {
     private static final int CRASH_STATUS = 137;
 
     private StandinMain() {}
 
-    /** Starts the stand-in that the first argument names. */
+    /** Starts the stand-in named by the first argument. */
     public static void main(String[] args) throws Exception {
         new Program(
                         "verbenatally-standin",
@@ -41,7 +41,7 @@
 
     private static int run(CommandLine line) throws ParseException {
         if (line.getArgs().length != 1) {
-            throw new ParseException("one stand-in must be named");
+            throw new ParseException("exactly one stand-in must be named");
         }
         System.out.println("listening " + line.getOptionValue("host", "127.0.0.1") + ":" + start(line));
         return Program.OK;
@@ -62,38 +62,38 @@
         String id = line.getOptionValue("id", type + "-1");
         return switch (type) {
             case "engine" -> {
-                var options = OptionRecords.with(EngineOptions.defaults(id), changes(line));
-                yield started(
+                var options = OptionRecords.with(EngineOptions.defaults(id), optionChanges(line));
+                yield startEngine(
                         new EngineStandin(options, () -> Runtime.getRuntime().halt(CRASH_STATUS)));
             }
             case "service" ->
-                started(new ServiceStandin(OptionRecords.with(ServiceOptions.defaults(id), changes(line))));
-            case "platform" -> platform(line);
-            case "relay" -> relay(line);
+                startService(new ServiceStandin(OptionRecords.with(ServiceOptions.defaults(id), optionChanges(line))));
+            case "platform" -> startPlatform(line);
+            case "relay" -> startRelay(line);
             default -> throw new ParseException("unknown stand-in " + type);
         };
     }
 
-    private static int started(EngineStandin engine) {
-        stopAtExit(engine);
+    private static int startEngine(EngineStandin engine) {
+        closeAtExit(engine);
         return engine.start();
     }
 
-    private static int started(ServiceStandin service) {
-        stopAtExit(service);
+    private static int startService(ServiceStandin service) {
+        closeAtExit(service);
         return service.start();
     }
 
-    private static int platform(CommandLine line) {
-        var platform = new PlatformStandin(OptionRecords.with(PlatformOptions.defaults(), changes(line)));
-        stopAtExit(platform);
+    private static int startPlatform(CommandLine line) {
+        var platform = new PlatformStandin(OptionRecords.with(PlatformOptions.defaults(), optionChanges(line)));
+        closeAtExit(platform);
         int port = platform.start();
         if (line.hasOption("config")) {
-            String document = read(line.getOptionValue("config"));
-            platform.publish(version(document), document);
+            String document = readFile(line.getOptionValue("config"));
+            platform.publish(documentVersion(document), document);
         }
         if (line.hasOption("instances")) {
-            for (Object instance : new JsonArray(read(line.getOptionValue("instances")))) {
+            for (Object instance : new JsonArray(readFile(line.getOptionValue("instances")))) {
                 JsonObject members = (JsonObject) instance;
                 platform.putInstance(members.getString("id"), members);
             }
@@ -101,8 +101,8 @@
         return port;
     }
 
-    /** Deployment documents are JSON with comments. */
-    private static long version(String document) {
+    /** Returns the version of a deployment document, which is JSON with comments. */
+    private static long documentVersion(String document) {
         try {
             return JsonMapper.builder()
                     .enable(JsonReadFeature.ALLOW_JAVA_COMMENTS)
@@ -111,26 +111,26 @@
                     .path("version")
                     .asLong();
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("the document is not JSON: " + e.getOriginalMessage(), e);
+            throw new IllegalArgumentException("the document is not valid JSON: " + e.getOriginalMessage(), e);
         }
     }
 
-    private static int relay(CommandLine line) throws ParseException {
+    private static int startRelay(CommandLine line) throws ParseException {
         if (!line.hasOption("target")) {
-            throw new ParseException("relay needs --target HOST:PORT");
+            throw new ParseException("a relay requires --target HOST:PORT");
         }
         Address target = Address.parse(line.getOptionValue("target"));
         String host = line.getOptionValue("host", "127.0.0.1");
         int port = Integer.parseInt(line.getOptionValue("port", "0"));
         var relay = new TcpRelay(new RelayOptions(host, port, target.host(), target.port()));
-        stopAtExit(relay);
+        closeAtExit(relay);
         var admin = new RelayAdmin(relay, host, Integer.parseInt(line.getOptionValue("admin-port", "0")));
-        stopAtExit(admin);
+        closeAtExit(admin);
         System.out.println("admin " + host + ":" + admin.start());
         return relay.start();
     }
 
-    private static Map<String, String> changes(CommandLine line) {
+    private static Map<String, String> optionChanges(CommandLine line) {
         Map<String, String> changes = new LinkedHashMap<>();
         for (String name : new String[] {"host", "port", "id", "history"}) {
             if (line.hasOption(name)) {
@@ -141,7 +141,7 @@
             for (String pair : line.getOptionValues("set")) {
                 int equals = pair.indexOf('=');
                 if (equals < 1) {
-                    throw new IllegalArgumentException("--set needs NAME=VALUE: " + pair);
+                    throw new IllegalArgumentException("--set requires NAME=VALUE: " + pair);
                 }
                 changes.put(pair.substring(0, equals), pair.substring(equals + 1));
             }
@@ -149,7 +149,7 @@
         return changes;
     }
 
-    private static String read(String file) {
+    private static String readFile(String file) {
         try {
             return Files.readString(Path.of(file));
         } catch (IOException e) {
@@ -157,10 +157,10 @@
         }
     }
 
-    private static void stopAtExit(AutoCloseable part) {
+    private static void closeAtExit(AutoCloseable closeable) {
         Runtime.getRuntime().addShutdownHook(new Thread(() -> {
             try {
-                part.close();
+                closeable.close();
             } catch (Exception e) {
                 System.err.println("standin: close failed: " + e.getMessage());
             }
--- a/tools/src/main/java/org/verbenatally/standin/TcpRelay.java
+++ b/tools/src/main/java/org/verbenatally/standin/TcpRelay.java
@@ -11,18 +11,18 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Relays TCP connections from one address to another and breaks them on request. Each connection has virtual threads of
- * its own.
+ * Relays TCP connections from one address to another and injects faults into them on request. Each connection has its
+ * own virtual threads.
  *
- * <p>A connection that was silenced stays open and silent for its whole life, as real ones do whose state was lost on
- * the way; ending the silence affects only connections made later.
+ * <p>A silenced connection stays open and silent for its entire lifetime, like a real connection whose state was lost
+ * in the network. Ending the silence affects only connections made later.
  */
 public final class TcpRelay implements AutoCloseable {
-    /** The ways through a relay. */
+    /** Directions through a relay. */
     public enum Direction {
-        /** From the side that connected to the target. */
+        /** From the client, which connected to the relay, to the target. */
         TO_TARGET,
-        /** From the target to the side that connected. */
+        /** From the target to the client. */
         TO_CLIENT
     }
 
@@ -31,9 +31,9 @@
 
     private final RelayOptions options;
     private final Set<RelayConnection> connections = ConcurrentHashMap.newKeySet();
-    private volatile Set<Direction> silentNew = Set.of();
+    private volatile Set<Direction> silentForNew = Set.of();
     private volatile long delayMs;
-    private ServerSocket server;
+    private ServerSocket listener;
     private Thread acceptor;
     private int port;
 
@@ -54,19 +54,19 @@
         connections.forEach(RelayConnection::reset);
     }
 
-    /** Refuses new connections (the listener is closed), or accepts them again. Open connections stay. */
-    public synchronized void refuse(boolean on) {
-        if (on) {
-            closeServer();
-        } else if (server == null) {
+    /** Sets whether new connections are refused, by closing the listener. Open connections are not affected. */
+    public synchronized void setRefusing(boolean refusing) {
+        if (refusing) {
+            closeListener();
+        } else if (listener == null) {
             listen();
         }
     }
 
     /**
-     * Drops all bytes of the connections that are open now, for good.
+     * Drops all bytes of the connections that are open now, permanently.
      *
-     * @param directions the directions that go silent
+     * @param directions directions that become silent
      */
     public void silenceOpen(Set<Direction> directions) {
         connections.forEach(connection -> connection.silence(directions));
@@ -75,32 +75,32 @@
     /**
      * Sets whether connections made from now on are silent.
      *
-     * @param directions the directions that are silent; empty: none
+     * @param directions directions that are silent; empty: none
      */
     public void silenceNew(Set<Direction> directions) {
-        silentNew = Set.copyOf(directions);
+        silentForNew = Set.copyOf(directions);
     }
 
-    /** Drops all bytes in both directions, of open connections and of those made until {@link #heal}. */
+    /** Drops all bytes in both directions, for open connections and for those made until {@link #heal}. */
     public void silenceAll() {
         silenceNew(EnumSet.allOf(Direction.class));
         silenceOpen(EnumSet.allOf(Direction.class));
     }
 
     /**
-     * Delays bytes in each direction.
+     * Sets the delay of bytes in each direction.
      *
-     * @param milliseconds delay of bytes read from now on; 0: none
+     * @param milliseconds delay of bytes read from now on, in milliseconds; 0: none
      */
-    public void delay(long milliseconds) {
+    public void setDelay(long milliseconds) {
         delayMs = Math.max(0, milliseconds);
     }
 
-    /** Ends refusal, delay and the silence of new connections; connections that went silent stay silent. */
+    /** Ends refusal, delay and the silence of new connections. Connections that are already silent stay silent. */
     public void heal() {
         silenceNew(Set.of());
-        delay(0);
-        refuse(false);
+        setDelay(0);
+        setRefusing(false);
     }
 
     /** Returns the number of open connections. */
@@ -110,7 +110,7 @@
 
     @Override
     public synchronized void close() {
-        closeServer();
+        closeListener();
         cut();
     }
 
@@ -118,7 +118,7 @@
         return delayMs;
     }
 
-    void closed(RelayConnection connection) {
+    void onClosed(RelayConnection connection) {
         connections.remove(connection);
     }
 
@@ -128,26 +128,26 @@
             socket.setReuseAddress(true);
             socket.bind(new InetSocketAddress(InetAddress.getByName(options.host()), port), BACKLOG);
             port = socket.getLocalPort();
-            server = socket;
+            listener = socket;
             acceptor = Thread.ofVirtual().name("relay-accept").start(() -> accept(socket));
         } catch (IOException e) {
             throw new UncheckedIOException("cannot listen on " + options.host() + ":" + port, e);
         }
     }
 
-    private void closeServer() {
+    private void closeListener() {
         try {
-            if (server != null) {
-                server.close();
-                // The descriptor stays open, and connections succeed, until the accepting thread has noticed.
+            if (listener != null) {
+                listener.close();
+                // The descriptor stays open, and connections succeed, until the accepting thread has noticed the close.
                 acceptor.join();
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("cannot close the listener", e);
+            throw new UncheckedIOException("cannot close the listener of the relay", e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
-            server = null;
+            listener = null;
         }
     }
 
@@ -157,7 +157,7 @@
                 Socket client = socket.accept();
                 Thread.ofVirtual().name("relay-connect").start(() -> connect(client));
             } catch (IOException e) {
-                // Closed, or out of descriptors; the loop condition tells which.
+                // The socket was closed or no descriptor is free; the loop condition distinguishes the two.
                 Thread.onSpinWait();
             }
         }
@@ -165,11 +165,11 @@
 
     private void connect(Socket client) {
         Socket target = new Socket();
-        RelayConnection connection = new RelayConnection(this, client, target, silentNew);
+        RelayConnection connection = new RelayConnection(this, client, target, silentForNew);
         connections.add(connection);
         try {
             target.connect(new InetSocketAddress(options.targetHost(), options.targetPort()), CONNECT_TIMEOUT_MS);
-            connection.run();
+            connection.startPumps();
         } catch (IOException e) {
             connection.reset();
         }
--- a/tools/src/main/java/org/verbenatally/standin/package-info.java
+++ b/tools/src/main/java/org/verbenatally/standin/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Stand-ins for the platform, the engines, the plain services and a faulty network. Each speaks the published protocol
- * of the part it replaces, keeps a history of what it ran, and has admin routes that set faults at run time. Every
- * stand-in runs on one event loop of its own, can be embedded in a test, and can run as a process.
+ * Stand-ins for the platform, the engines, the plain services and a faulty network. Those for the platform, engines and
+ * services implement the published protocol of the component that they replace, keep a history of their events and run
+ * on their own event loop. The relay that stands for the network works on TCP connections. All have admin routes that
+ * set faults at run time, can be embedded in a test and can run as processes.
  */
 package org.verbenatally.standin;
--- a/tools/src/test/java/org/verbenatally/standin/ServiceAndPlatformTest.java
+++ b/tools/src/test/java/org/verbenatally/standin/ServiceAndPlatformTest.java
@@ -12,11 +12,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-/** The published interfaces of the plain service and the platform. */
+/** Tests of the published interfaces of the plain service and the platform. */
 class ServiceAndPlatformTest {
     private static final String DOCUMENT = "{\"version\":%d}";
 
-    /** A checker counts runs by this history; a run that is missing or doubled in it hides a doubled booking. */
+    /** Guards against missing or doubled runs in the history, which would hide a duplicate booking from a checker. */
     @ParameterizedTest
     @CsvSource({"none, 1", "reset-before-run, 0", "reset-after-run, 1"})
     void recordsExactlyTheRunsOfACall(String fault, int runs) throws Exception {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void watchAnswersWhenANewerDocumentIsPublished() throws Exception {
+    void watchRespondsWhenANewerDocumentIsPublished() throws Exception {
         try (PlatformStandin platform = new PlatformStandin(PlatformOptions.defaults())) {
             int port = platform.start();
             platform.publish(1, DOCUMENT.formatted(1));
@@ -62,17 +62,17 @@
             TestHttp.send(port, "PUT", "/admin/config", DOCUMENT.formatted(2), "Config-Version", "2");
             assertThat(watch.get().headers().firstValue("Config-Version")).contains("2");
             assertThat(watch.get().body()).isEqualTo(DOCUMENT.formatted(2));
-            platform.mode("stale", 0);
+            platform.changeMode("stale", 0);
             assertThat(TestHttp.send(port, "GET", "/v1/config", "").headers().firstValue("Config-Version"))
                     .contains("1");
-            platform.mode("down", 0);
+            platform.changeMode("down", 0);
             assertThatThrownBy(() -> TestHttp.send(port, "GET", "/v1/config", ""))
                     .isInstanceOf(IOException.class);
         }
     }
 
     @Test
-    void instancesShowAfterTheLagAndReadsAreCounted() throws Exception {
+    void instancesBecomeVisibleAfterTheLagAndReadsAreCounted() throws Exception {
         var options = OptionRecords.with(
                 PlatformOptions.defaults(), Map.of("instanceLagMs", 60_000, "readsPerSecond", 1_000_000));
         try (PlatformStandin platform = new PlatformStandin(options)) {
--- a/tools/src/test/java/org/verbenatally/standin/TcpRelayTest.java
+++ b/tools/src/test/java/org/verbenatally/standin/TcpRelayTest.java
@@ -20,10 +20,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-/** The relay's faults; a fault that does not happen makes a fault test pass for nothing. */
+/** Tests of the faults that the relay injects. A fault without effect would let other fault tests pass vacuously. */
 class TcpRelayTest {
-    /** Only bounds the wait for bytes that must not arrive. */
-    private static final int SILENT_MS = 200;
+    /** Limits the wait for bytes that must not arrive; has no other effect. */
+    private static final int SILENCE_TIMEOUT_MS = 200;
 
     private ServerSocket echo;
     private TcpRelay relay;
@@ -43,7 +43,7 @@
                 }
             }
         });
-        relay = new TcpRelay(RelayOptions.to(echo.getLocalPort()));
+        relay = new TcpRelay(RelayOptions.toLoopback(echo.getLocalPort()));
         port = relay.start();
     }
 
@@ -56,7 +56,7 @@
                 socket.getOutputStream().write(b);
             }
         } catch (IOException e) {
-            // The relay cut the connection.
+            // The relay reset the connection.
         }
     }
 
@@ -79,24 +79,24 @@
 
     @Test
     void cutResetsOpenConnectionsOnly() throws Exception {
-        try (Socket old = connect()) {
-            assertThat(roundTrip(old, 1)).isEqualTo(1);
+        try (Socket existing = connect()) {
+            assertThat(roundTrip(existing, 1)).isEqualTo(1);
             relay.cut();
-            assertThatThrownBy(() -> roundTrip(old, 2)).isInstanceOf(SocketException.class);
+            assertThatThrownBy(() -> roundTrip(existing, 2)).isInstanceOf(SocketException.class);
             try (Socket fresh = connect()) {
                 assertThat(roundTrip(fresh, 3)).isEqualTo(3);
             }
         }
     }
 
-    /** Repeated, as a listener that is not yet closed accepts a connection only now and then. */
+    /** Repeated because a listener that is not yet closed accepts a connection only occasionally. */
     @RepeatedTest(10)
-    void refuseLeavesOpenConnectionsAndEnds() throws Exception {
-        try (Socket old = connect()) {
-            assertThat(roundTrip(old, 1)).isEqualTo(1);
-            relay.refuse(true);
+    void refusalKeepsOpenConnectionsAndCanBeLifted() throws Exception {
+        try (Socket existing = connect()) {
+            assertThat(roundTrip(existing, 1)).isEqualTo(1);
+            relay.setRefusing(true);
             assertThatThrownBy(this::connect).isInstanceOf(ConnectException.class);
-            assertThat(roundTrip(old, 2)).isEqualTo(2);
+            assertThat(roundTrip(existing, 2)).isEqualTo(2);
             relay.heal();
             try (Socket fresh = connect()) {
                 assertThat(roundTrip(fresh, 3)).isEqualTo(3);
@@ -106,34 +106,34 @@
 
     @ParameterizedTest
     @EnumSource(Direction.class)
-    void silenceHoldsOneDirectionOfOpenConnectionsForGood(Direction direction) throws Exception {
-        try (Socket old = connect();
-                Socket fresh = connectAfterSilence(old, direction)) {
+    void silenceDropsOneDirectionOfOpenConnectionsPermanently(Direction direction) throws Exception {
+        try (Socket existing = connect();
+                Socket fresh = connectAfterSilence(existing, direction)) {
             assertThat(roundTrip(fresh, 2)).isEqualTo(2);
             int before = echoed;
-            old.setSoTimeout(SILENT_MS);
-            assertThatThrownBy(() -> roundTrip(old, 3)).isInstanceOf(SocketTimeoutException.class);
+            existing.setSoTimeout(SILENCE_TIMEOUT_MS);
+            assertThatThrownBy(() -> roundTrip(existing, 3)).isInstanceOf(SocketTimeoutException.class);
             assertThat(echoed - before).isEqualTo(direction == Direction.TO_TARGET ? 0 : 1);
             relay.heal();
-            assertThatThrownBy(() -> roundTrip(old, 4)).isInstanceOf(SocketTimeoutException.class);
+            assertThatThrownBy(() -> roundTrip(existing, 4)).isInstanceOf(SocketTimeoutException.class);
         }
     }
 
-    private Socket connectAfterSilence(Socket old, Direction direction) throws IOException {
-        assertThat(roundTrip(old, 1)).isEqualTo(1);
+    private Socket connectAfterSilence(Socket existing, Direction direction) throws IOException {
+        assertThat(roundTrip(existing, 1)).isEqualTo(1);
         relay.silenceOpen(EnumSet.of(direction));
         return connect();
     }
 
     @Test
-    void silenceAndDelayHitNewConnections() throws Exception {
+    void silenceAndDelayAffectNewConnections() throws Exception {
         relay.silenceAll();
         try (Socket silent = connect()) {
-            silent.setSoTimeout(SILENT_MS);
+            silent.setSoTimeout(SILENCE_TIMEOUT_MS);
             assertThatThrownBy(() -> roundTrip(silent, 1)).isInstanceOf(SocketTimeoutException.class);
         }
         relay.heal();
-        relay.delay(40);
+        relay.setDelay(40);
         try (Socket slow = connect()) {
             long start = System.nanoTime();
             assertThat(roundTrip(slow, 1)).isEqualTo(1);
--- a/tools/src/test/java/org/verbenatally/standin/TestHttp.java
+++ b/tools/src/test/java/org/verbenatally/standin/TestHttp.java
@@ -11,7 +11,7 @@
 
 import io.vertx.core.json.JsonObject;
 
-/** Plain HTTP requests to a stand-in on a loopback port. */
+/** Sends plain HTTP requests to a stand-in on a loopback port. */
 final class TestHttp {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final HttpClient CLIENT =
