--- a/tools/src/main/java/org/verbenatally/history/AnswerRules.java
+++ b/tools/src/main/java/org/verbenatally/history/AnswerRules.java
@@ -108,7 +108,7 @@
         boolean matched =
                 runs.stream().anyMatch(run -> run.text() == null || run.text().equals(answer.text()));
         if (!matched) {
-            violations.add("request %s received an answer that no run of work %s produced"
+            violations.add("request %s received a response that no run of work %s produced"
                     .formatted(sent.request(), sent.work()));
         }
     }
--- a/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
@@ -41,14 +41,14 @@
         List<Sent> sent = history.all(Sent.class);
         Map<String, List<Answer>> answersByRequest = history.groupBy(Answer.class, Answer::request);
         Set<String> nonRepeatable =
-                sent.stream().filter(each -> !each.repeatable()).map(Sent::work).collect(Collectors.toSet());
+                sent.stream().filter(copy -> !copy.repeatable()).map(Sent::work).collect(Collectors.toSet());
         Set<String> executed = history.all(Run.class).stream().map(Run::work).collect(Collectors.toSet());
         executed.retainAll(nonRepeatable);
         Set<String> unknown = new HashSet<>(nonRepeatable);
         sent.stream()
-                .filter(each -> answersByRequest.getOrDefault(each.request(), List.of()).stream()
+                .filter(copy -> answersByRequest.getOrDefault(copy.request(), List.of()).stream()
                         .anyMatch(answer -> answer.outcome() == Outcome.DONE || answer.outcome() == Outcome.NOT_RUN))
-                .forEach(each -> unknown.remove(each.work()));
+                .forEach(copy -> unknown.remove(copy.work()));
         return new HistoryReport.Counts(
                 sent.size(),
                 countByOutcome(sent, answersByRequest, Outcome.DONE),
@@ -56,7 +56,7 @@
                 countByOutcome(sent, answersByRequest, Outcome.UNKNOWN),
                 countByOutcome(sent, answersByRequest, null),
                 sent.stream()
-                        .filter(each -> !answersByRequest.containsKey(each.request()))
+                        .filter(copy -> !answersByRequest.containsKey(copy.request()))
                         .count(),
                 nonRepeatable.size(),
                 executed.size(),
@@ -65,8 +65,8 @@
 
     private static long countByOutcome(List<Sent> sent, Map<String, List<Answer>> answersByRequest, Outcome outcome) {
         return sent.stream()
-                .filter(each -> answersByRequest.containsKey(each.request()))
-                .filter(each -> answersByRequest.get(each.request()).getLast().outcome() == outcome)
+                .filter(copy -> answersByRequest.containsKey(copy.request()))
+                .filter(copy -> answersByRequest.get(copy.request()).getLast().outcome() == outcome)
                 .count();
     }
 }
--- a/tools/src/main/java/org/verbenatally/history/HistoryReport.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryReport.java
@@ -22,7 +22,7 @@
      * @param open copies that were still open when the history ended
      * @param onceOnly non-repeatable work items that were sent
      * @param onceOnlyRan non-repeatable work items that ran
-     * @param onceOnlyUnknown non-repeatable work items whose outcome no caller was told
+     * @param onceOnlyUnknown non-repeatable work items whose outcome was not reported to any caller
      */
     public record Counts(
             long requests,
--- a/tools/src/main/java/org/verbenatally/standin/LaggedReports.java
+++ b/tools/src/main/java/org/verbenatally/standin/LaggedReports.java
@@ -13,9 +13,9 @@
 
     /** Adds a snapshot of the current load and removes those that are too old to be served again. */
     void add(JsonObject report, long lagMs) {
-        long now = System.nanoTime();
-        snapshots.addLast(new Snapshot(now, report));
-        long cutoffNanos = now - lagMs * 1_000_000;
+        long nowNanos = System.nanoTime();
+        snapshots.addLast(new Snapshot(nowNanos, report));
+        long cutoffNanos = nowNanos - lagMs * 1_000_000;
         while (snapshots.size() > 1 && second().atNanos() - cutoffNanos <= 0) {
             snapshots.removeFirst();
         }
--- a/tools/src/main/java/org/verbenatally/standin/TokenText.java
+++ b/tools/src/main/java/org/verbenatally/standin/TokenText.java
@@ -22,15 +22,15 @@
     }
 
     /** Returns whether a response consists of exactly the first {@code tokens} tokens of a generation. */
-    public static boolean isWhole(String answer, GenerationId generation, long tokens) {
+    public static boolean isWhole(String responseText, GenerationId generation, long tokens) {
         int position = 0;
         for (long offset = 0; offset < tokens; offset++) {
             String expected = of(generation, offset);
-            if (!answer.startsWith(expected, position)) {
+            if (!responseText.startsWith(expected, position)) {
                 return false;
             }
             position += expected.length();
         }
-        return position == answer.length();
+        return position == responseText.length();
     }
 }
