--- a/tools/src/main/java/org/verbenatally/faults/BenchCluster.java
+++ b/tools/src/main/java/org/verbenatally/faults/BenchCluster.java
@@ -9,7 +9,7 @@
 import org.verbenatally.config.TargetType;
 import org.verbenatally.core.Address;
 
-/** A cluster of processes for measurements: what the load tool needs to know, and no faults. */
+/** A cluster of processes for measurements. It exposes what the load tool needs and injects no faults. */
 public final class BenchCluster implements AutoCloseable {
     private final Cluster cluster;
 
@@ -23,14 +23,18 @@
      * @param deployment name of an example deployment
      * @param entries number of entry processes
      * @param seed seed of the entries and stand-ins
-     * @param engine options of all engines, by name
+     * @param engineOptions options of all engines, by name
      * @param properties system properties of the entry and stand-in processes
      */
     public static BenchCluster start(
-            String deployment, int entries, long seed, Map<String, String> engine, Map<String, String> properties) {
-        ChildProcess.useProperties(properties);
+            String deployment,
+            int entries,
+            long seed,
+            Map<String, String> engineOptions,
+            Map<String, String> properties) {
+        ChildProcess.setSystemProperties(properties);
         return new BenchCluster(
-                Cluster.start(new ClusterOptions(deployment, entries, seed, false, Set.of(), engine, 5)));
+                Cluster.start(new ClusterOptions(deployment, entries, seed, false, Set.of(), engineOptions, 5)));
     }
 
     /** Returns the deployment in force. */
@@ -38,20 +42,20 @@
         return cluster.deployment();
     }
 
-    /** Returns where the entries listen for callers. */
+    /** Returns the addresses at which the entries listen for callers. */
     public List<Address> entries() {
         List<Address> addresses = new ArrayList<>();
         for (int i = 0; i < cluster.size(); i++) {
-            addresses.add(cluster.callers(i));
+            addresses.add(cluster.callerAddress(i));
         }
         return addresses;
     }
 
-    /** Returns where the engines listen. */
+    /** Returns the addresses at which the engines listen. */
     public List<Address> engines() {
         return deployment().targets().values().stream()
-                .filter(t -> t.type() == TargetType.ENGINE)
-                .map(t -> cluster.targets().address(t.id().value()))
+                .filter(target -> target.type() == TargetType.ENGINE)
+                .map(target -> cluster.standins().address(target.id().value()))
                 .toList();
     }
 
--- a/tools/src/main/java/org/verbenatally/faults/Caller.java
+++ b/tools/src/main/java/org/verbenatally/faults/Caller.java
@@ -16,51 +16,53 @@
 import org.verbenatally.history.HistoryRecord.TokenSeen;
 
 /**
- * Sends work as a caller does and records everything that it sees. A stream whose connection breaks or goes silent is
- * resumed at the next entry. One caller can send many copies at the same time from different threads.
+ * Sends requests as a caller of the system does and records what it receives. When the connection of a stream breaks or
+ * no data arrives within the silence timeout, the stream is resumed at the next entry. A caller can send many requests
+ * at the same time from different threads.
  */
 final class Caller {
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    /** The system sends a comment every 2 s; a caller gives a connection up after three of them are missing. */
-    static final int STREAM_SILENCE_MS = 6_000;
+    /** The system sends a comment every 2 s; a caller abandons a connection after three missing comments. */
+    static final int STREAM_SILENCE_TIMEOUT_MS = 6_000;
 
-    private static final AtomicLong SERIAL = new AtomicLong();
-    private static final int RESUME_PAUSE_MS = 200;
+    private static final AtomicLong REQUEST_SERIAL = new AtomicLong();
+    private static final int RESUME_DELAY_MS = 200;
 
     private final Cluster cluster;
     private final History history;
-    private final int whole;
-    private final int patienceMs;
+    private final int completeResponseTimeoutMs;
+    private final int timeoutMs;
     private int readDelayMs;
 
     /**
      * Creates a caller.
      *
-     * @param patienceMs time after which it gives up on an answer, in milliseconds
+     * @param timeoutMs time after which it stops waiting for a response, in milliseconds
      */
-    Caller(Cluster cluster, int patienceMs) {
+    Caller(Cluster cluster, int timeoutMs) {
         this.cluster = cluster;
         this.history = cluster.history();
-        this.whole = patienceMs;
-        this.patienceMs = patienceMs;
+        this.completeResponseTimeoutMs = timeoutMs;
+        this.timeoutMs = timeoutMs;
     }
 
-    /** Makes this caller wait before it reads each event of a stream. */
-    Caller readingSlowly(int delayMs) {
+    /** Makes this caller pause after each event of a stream for the given time, in milliseconds. */
+    Caller withReadDelay(int delayMs) {
         readDelayMs = delayMs;
         return this;
     }
 
     /**
-     * Gets an idempotency key.
+     * Requests an idempotency key from an entry.
      *
-     * @return the work with the key
-     * @throws IllegalStateException if the entry refuses
+     * @return the work item with the key
+     * @throws IllegalStateException if the entry issues no key
+     * @throws UncheckedIOException if the connection fails
      */
-    Work withKey(Work work, int entry) {
-        try (HttpCall call = HttpCall.connect(cluster.callers(entry), patienceMs)) {
+    WorkItem withKey(WorkItem work, int entry) {
+        try (HttpCall call = HttpCall.connect(cluster.callerAddress(entry), timeoutMs)) {
             call.exchange("POST", "/v1/keys/" + work.kind().name(), headers(work, null), new byte[0]);
-            String body = call.rest();
+            String body = call.readRemainingBody();
             if (call.status() != 201) {
                 throw new IllegalStateException("no key from " + cluster.entryName(entry) + ": " + body);
             }
@@ -71,66 +73,66 @@
     }
 
     /**
-     * Sends one copy, follows its stream over broken connections, and returns the recorded end. An entry that refuses
-     * the connection is passed over, as a load balancer does.
+     * Sends one request, resumes its stream when the connection breaks, and returns the recorded response. If an entry
+     * refuses the connection, the next entry is tried, as a load balancer would.
      */
-    Answer send(Work work, int entry) {
-        String request = "r" + SERIAL.incrementAndGet();
-        Reading reading = new Reading(request, System.currentTimeMillis() + patienceMs);
-        Answer answer = null;
-        int at = entry;
-        for (int tried = 0; answer == null && tried < cluster.size(); tried++) {
-            at = (entry + tried) % cluster.size();
-            try (HttpCall call = HttpCall.connect(cluster.callers(at), silence(work))) {
-                sent(work, request, at);
-                answer = exchange(call, work, reading);
-                if (answer == null) {
-                    answer = resume(work, at, reading);
+    Answer send(WorkItem work, int entry) {
+        String requestId = "r" + REQUEST_SERIAL.incrementAndGet();
+        RequestState state = new RequestState(requestId, System.currentTimeMillis() + timeoutMs);
+        Answer response = null;
+        int entryIndex = entry;
+        for (int tries = 0; response == null && tries < cluster.size(); tries++) {
+            entryIndex = (entry + tries) % cluster.size();
+            try (HttpCall call = HttpCall.connect(cluster.callerAddress(entryIndex), silenceTimeoutMs(work))) {
+                recordSent(work, requestId, entryIndex);
+                response = sendAndRead(call, work, state);
+                if (response == null) {
+                    response = resumeStream(work, entryIndex, state);
                 }
             } catch (IOException e) {
                 continue;
             }
         }
-        if (answer == null) {
-            sent(work, request, entry);
-            answer = reading.end(null, 0, "connection-refused", -1, null);
+        if (response == null) {
+            recordSent(work, requestId, entry);
+            response = state.createResponse(null, 0, "connection-refused", -1, null);
         }
-        history.add(answer);
-        return answer;
+        history.add(response);
+        return response;
     }
 
-    private void sent(Work work, String request, int entry) {
+    private void recordSent(WorkItem work, String requestId, int entry) {
         history.add(new Sent(
                 System.currentTimeMillis(),
-                request,
+                requestId,
                 work.id(),
                 work.kind().name().toString(),
                 work.kind().repeatable(),
-                work.streamed(),
+                work.isStreamed(),
                 work.key(),
                 cluster.entryName(entry)));
     }
 
-    /** Sends the request and reads its answer; returns {@code null} if the connection was lost before the end. */
-    private Answer exchange(HttpCall call, Work work, Reading reading) {
+    /** Sends the request and returns its response, or {@code null} if the connection was lost before its end. */
+    private Answer sendAndRead(HttpCall call, WorkItem work, RequestState state) {
         try {
-            call.exchange("POST", "/v1/work/" + work.kind().name(), headers(work, reading.request), work.body());
-            return read(call, work, reading);
+            call.exchange("POST", "/v1/work/" + work.kind().name(), headers(work, state.requestId), work.body());
+            return readResponse(call, work, state);
         } catch (IOException e) {
             return null;
         }
     }
 
-    private int silence(Work work) {
-        return work.streamed() ? STREAM_SILENCE_MS : whole;
+    private int silenceTimeoutMs(WorkItem work) {
+        return work.isStreamed() ? STREAM_SILENCE_TIMEOUT_MS : completeResponseTimeoutMs;
     }
 
-    private static Map<String, String> headers(Work work, String request) {
+    private static Map<String, String> headers(WorkItem work, String requestId) {
         Map<String, String> headers = new HashMap<>();
         headers.put("Authorization", "Bearer " + work.organisation() + "-credential");
         headers.put("Organisation", work.organisation());
-        if (request != null) {
-            headers.put("Request-Id", request);
+        if (requestId != null) {
+            headers.put("Request-Id", requestId);
         }
         if (work.key() != null) {
             headers.put("Idempotency-Key", work.key());
@@ -138,52 +140,53 @@
         return headers;
     }
 
-    /** Resumes a stream at the other entries in turn until it ends or patience runs out. */
-    private Answer resume(Work work, int entry, Reading reading) {
-        int next = entry;
-        while (reading.stream != null && System.currentTimeMillis() < reading.giveUpMs) {
-            next = (next + 1) % cluster.size();
-            try (HttpCall call = HttpCall.connect(cluster.callers(next), STREAM_SILENCE_MS)) {
+    /** Resumes a stream at the other entries in turn until it ends or the timeout of the caller has passed. */
+    private Answer resumeStream(WorkItem work, int entry, RequestState state) {
+        int entryIndex = entry;
+        while (state.stream != null && System.currentTimeMillis() < state.deadlineEpochMs) {
+            entryIndex = (entryIndex + 1) % cluster.size();
+            try (HttpCall call = HttpCall.connect(cluster.callerAddress(entryIndex), STREAM_SILENCE_TIMEOUT_MS)) {
                 Map<String, String> headers = headers(work, null);
-                if (reading.lastEventId != null) {
-                    headers.put("Last-Event-ID", reading.lastEventId);
+                if (state.lastEventId != null) {
+                    headers.put("Last-Event-ID", state.lastEventId);
                 }
-                call.exchange("GET", "/v1/streams/" + reading.stream, headers, null);
-                Answer answer = read(call, work, reading);
-                // A refusal of the resume says nothing about the request, which another entry can still follow.
-                if (answer != null && (answer.status() < 400 || answer.status() == 410)) {
-                    return answer;
+                call.exchange("GET", "/v1/streams/" + state.stream, headers, null);
+                Answer response = readResponse(call, work, state);
+                // A rejected resume does not end the request: another entry may still be able to resume its stream.
+                if (response != null && (response.status() < 400 || response.status() == 410)) {
+                    return response;
                 }
-                pause(RESUME_PAUSE_MS);
+                pause(RESUME_DELAY_MS);
             } catch (IOException e) {
-                pause(RESUME_PAUSE_MS);
+                pause(RESUME_DELAY_MS);
             }
         }
-        return reading.end(null, 0, "connection-lost", -1, null);
+        return state.createResponse(null, 0, "connection-lost", -1, null);
     }
 
-    /** Reads an answer; returns {@code null} if a stream ended without its last event. */
-    private Answer read(HttpCall call, Work work, Reading reading) throws IOException {
+    /** Reads a response; returns {@code null} if a stream ended without its last event. */
+    private Answer readResponse(HttpCall call, WorkItem work, RequestState state) throws IOException {
         String type = Objects.requireNonNullElse(call.header("Content-Type"), "");
         if (!type.startsWith("text/event-stream")) {
-            String body = call.rest();
+            String body = call.readRemainingBody();
             JsonNode json = parse(body);
             Outcome outcome = call.header("Outcome") == null ? null : Outcome.parse(call.header("Outcome"));
-            String problem = json.path("type").isTextual() ? json.path("type").asText() : null;
-            reading.generation = call.header("Generation");
-            return reading.end(outcome, call.status(), problem, -1, Answers.canonical(work, json));
+            String problemType =
+                    json.path("type").isTextual() ? json.path("type").asText() : null;
+            state.generation = call.header("Generation");
+            return state.createResponse(outcome, call.status(), problemType, -1, ResponseText.ofResponse(work, json));
         }
         String event = "";
         String id = null;
-        for (String line = call.line(); line != null; line = call.line()) {
+        for (String line = call.readBodyLine(); line != null; line = call.readBodyLine()) {
             if (line.startsWith("event:")) {
                 event = line.substring(6).trim();
             } else if (line.startsWith("id:")) {
                 id = line.substring(3).trim();
             } else if (line.startsWith("data:")) {
-                Answer end = reading.event(event, id, parse(line.substring(5)), call.status());
-                if (end != null) {
-                    return end;
+                Answer response = state.onEvent(event, id, parse(line.substring(5)), call.status());
+                if (response != null) {
+                    return response;
                 }
                 pause(readDelayMs);
             } else if (line.isEmpty()) {
@@ -208,20 +211,20 @@
         }
     }
 
-    /** What is known of one copy while its answer is read. */
-    private final class Reading {
-        private final String request;
-        private final long giveUpMs;
+    /** The state of one request while its response is read. */
+    private final class RequestState {
+        private final String requestId;
+        private final long deadlineEpochMs;
         private String stream;
         private String generation;
         private String lastEventId;
 
-        Reading(String request, long giveUpMs) {
-            this.request = request;
-            this.giveUpMs = giveUpMs;
+        RequestState(String requestId, long deadlineEpochMs) {
+            this.requestId = requestId;
+            this.deadlineEpochMs = deadlineEpochMs;
         }
 
-        Answer event(String event, String id, JsonNode data, int status) {
+        Answer onEvent(String event, String id, JsonNode data, int status) {
             switch (event) {
                 case "start" -> {
                     stream = data.path("stream").asText();
@@ -230,11 +233,12 @@
                 }
                 case "end" -> {
                     Outcome outcome = Outcome.parse(data.path("outcome").asText());
-                    return end(outcome, status, null, data.path("tokens").asLong(-1), null);
+                    return createResponse(
+                            outcome, status, null, data.path("tokens").asLong(-1), null);
                 }
                 case "error" -> {
                     Outcome outcome = Outcome.parse(data.path("outcome").asText());
-                    return end(outcome, status, data.path("type").asText(), -1, null);
+                    return createResponse(outcome, status, data.path("type").asText(), -1, null);
                 }
                 default -> {
                     if (id != null) {
@@ -242,7 +246,7 @@
                         long offset = Long.parseLong(id.substring(id.lastIndexOf(':') + 1));
                         history.add(new TokenSeen(
                                 System.currentTimeMillis(),
-                                request,
+                                requestId,
                                 generation,
                                 offset,
                                 data.path("t").asText()));
@@ -252,8 +256,8 @@
             }
         }
 
-        Answer end(Outcome outcome, int status, String type, long tokens, String text) {
-            return new Answer(System.currentTimeMillis(), request, outcome, status, type, generation, tokens, text);
+        Answer createResponse(Outcome outcome, int status, String type, long tokens, String text) {
+            return new Answer(System.currentTimeMillis(), requestId, outcome, status, type, generation, tokens, text);
         }
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/ChildProcess.java
+++ b/tools/src/main/java/org/verbenatally/faults/ChildProcess.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** A Java process that this process started. It runs on the same JDK and class path and is killed with this process. */
+/** A Java child process. It uses the JDK and class path of this process and is killed when this process exits. */
 final class ChildProcess implements AutoCloseable {
     private static final Map<Long, Process> STARTED = new ConcurrentHashMap<>();
     private static final List<String> JVM_OPTIONS = List.of(
@@ -30,7 +30,7 @@
                 .addShutdownHook(new Thread(() -> STARTED.values().forEach(Process::destroyForcibly), "kill-children"));
     }
 
-    private static volatile Map<String, String> properties = Map.of();
+    private static volatile Map<String, String> systemProperties = Map.of();
 
     private final String name;
     private final Process process;
@@ -42,17 +42,17 @@
         out = process.inputReader(StandardCharsets.UTF_8);
     }
 
-    /** Sets the system properties of the processes that are started from now on. */
-    static void useProperties(Map<String, String> values) {
-        properties = Map.copyOf(values);
+    /** Sets the system properties of all processes that are started afterwards. */
+    static void setSystemProperties(Map<String, String> values) {
+        systemProperties = Map.copyOf(values);
     }
 
-    /** Starts a main class; its standard error goes to {@code <folder>/<name>.log}. */
+    /** Starts a main class in a new process. Its standard error is appended to {@code <folder>/<name>.log}. */
     static ChildProcess start(String name, Path folder, String mainClass, List<String> arguments) {
         List<String> command = new ArrayList<>();
         command.add(System.getProperty("java.home") + File.separator + "bin" + File.separator + "java");
         command.addAll(JVM_OPTIONS);
-        properties.forEach((key, value) -> command.add("-D" + key + "=" + value));
+        systemProperties.forEach((key, value) -> command.add("-D" + key + "=" + value));
         command.addAll(List.of("-cp", System.getProperty("java.class.path"), mainClass));
         command.addAll(arguments);
         File log = folder.resolve(name + ".log").toFile();
@@ -69,18 +69,18 @@
     }
 
     /**
-     * Reads standard output up to a line that starts with the given text, and keeps reading the rest in the background
-     * so that the process never blocks on a full pipe.
+     * Reads standard output up to a line that starts with the given prefix. The rest is read and discarded in the
+     * background, so that the process never blocks on a full pipe.
      *
      * @return the lines up to and including that line
-     * @throws IllegalStateException if the process ends before it prints the line
+     * @throws IllegalStateException if the process ends before it prints such a line
      */
-    List<String> awaitLine(String start) {
+    List<String> awaitLine(String prefix) {
         List<String> lines = new ArrayList<>();
         try {
             for (String line = out.readLine(); line != null; line = out.readLine()) {
                 lines.add(line);
-                if (line.startsWith(start)) {
+                if (line.startsWith(prefix)) {
                     Thread.ofVirtual().start(this::discardOutput);
                     return lines;
                 }
@@ -88,7 +88,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException("cannot read the output of " + name, e);
         }
-        throw new IllegalStateException(name + " ended before it printed '" + start + "': " + lines);
+        throw new IllegalStateException(name + " ended before it printed '" + prefix + "': " + lines);
     }
 
     private void discardOutput() {
@@ -113,7 +113,7 @@
         return process.isAlive();
     }
 
-    /** Kills the process at once, as {@code kill -9} does, and waits until it is gone. */
+    /** Kills the process, as {@code kill -9} does, and waits for up to 10 s until it has ended. */
     void kill() {
         process.destroyForcibly();
         awaitExit(Duration.ofSeconds(10));
@@ -129,7 +129,7 @@
         signal("-STOP");
     }
 
-    /** Continues a suspended process (SIGCONT). */
+    /** Resumes a suspended process (SIGCONT). */
     void resume() {
         signal("-CONT");
     }
@@ -153,17 +153,17 @@
         }
     }
 
-    /** Waits for the end of the process and tells whether it ended in time. */
-    boolean awaitExit(Duration limit) {
+    /** Waits for the process to end. Returns whether it ended within the timeout. */
+    boolean awaitExit(Duration timeout) {
         try {
-            return process.waitFor(limit.toMillis(), TimeUnit.MILLISECONDS);
+            return process.waitFor(timeout.toMillis(), TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return false;
         }
     }
 
-    /** Returns the exit status of an ended process. */
+    /** Returns the exit status of a process that has ended. */
     int exitStatus() {
         return process.exitValue();
     }
--- a/tools/src/main/java/org/verbenatally/faults/Cluster.java
+++ b/tools/src/main/java/org/verbenatally/faults/Cluster.java
@@ -31,29 +31,32 @@
 import org.verbenatally.history.HistoryRecord.VersionSeen;
 
 /**
- * A deployment of real size as separate processes on free loopback ports. Closing it ends all processes that it
- * started. Every fault it injects is recorded in its history.
+ * Runs a deployment of real size as separate processes on free loopback ports. Closing the cluster ends all processes
+ * that it started. Every fault that it injects is recorded in its history.
  */
 final class Cluster implements AutoCloseable {
     private static final ObjectMapper MAPPER =
             JsonMapper.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
-    private static final Duration START_LIMIT = Duration.ofSeconds(60);
-    private static final int STATUS_PERIOD_MS = 200;
-    /** Section 5.6 of the design: a stopping entry accepts work for this long, because the load balancer lags. */
-    private static final long BALANCER_LAG_MS = 3_000;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
+    private static final int STATUS_INTERVAL_MS = 200;
+    /**
+     * A stopping entry accepts work for this long, because the load balancer notices the stop with a delay; see section
+     * 5.6 of the design.
+     */
+    private static final long LOAD_BALANCER_LAG_MS = 3_000;
 
     /** Distinguishes the relay in front of an entry's peer port from the one in front of its caller port. */
-    private static final String PEER = "peer:";
+    private static final String PEER_RELAY_PREFIX = "peer:";
 
     private final History history = new History();
     private final ClusterOptions options;
     private final Path folder;
     private final ObjectNode document;
-    private final Targets targets;
+    private final Standins standins;
     private final Links links;
     private final List<EntryNode> entries = new ArrayList<>();
-    private final Map<String, Address> relays = new ConcurrentHashMap<>();
-    private final Map<Integer, Long> stoppedAtMs = new ConcurrentHashMap<>();
+    private final Map<String, Address> relayAddresses = new ConcurrentHashMap<>();
+    private final Map<Integer, Long> stopRequestedAtMs = new ConcurrentHashMap<>();
     private final AtomicBoolean closed = new AtomicBoolean();
     private Deployment deployment;
 
@@ -70,29 +73,29 @@
         }
     }
 
-    /** Starts the stand-ins only; entries follow with {@link #startEntries}. */
+    /** Starts the stand-ins only; {@link #startEntries} starts the entries. */
     Cluster(ClusterOptions options) {
         this.options = options;
         try {
             folder = Files.createTempDirectory("verbenatally-");
-            document =
-                    (ObjectNode) MAPPER.readTree(root().resolve("examples/" + options.deployment() + ".deployment.json")
-                            .toFile());
+            document = (ObjectNode) MAPPER.readTree(repositoryRoot()
+                    .resolve("examples/" + options.deployment() + ".deployment.json")
+                    .toFile());
         } catch (IOException e) {
             throw new UncheckedIOException("cannot prepare deployment " + options.deployment(), e);
         }
         document.put("version", 0);
-        targets = new Targets(folder, options, document);
-        links = options.links() ? new Links(this::names) : null;
+        standins = new Standins(folder, options, document);
+        links = options.relays() ? new Links(this::processNames) : null;
         for (JsonNode target : document.path("targets")) {
             String id = target.path("id").asText();
-            Address address = via(id, targets.address(id));
+            Address address = relayedAddress(id, standins.address(id));
             ((ObjectNode) target).put("host", address.host()).put("port", address.port());
         }
     }
 
-    /** Returns the root of the repository, found from where the classes were loaded. */
-    private static Path root() {
+    /** Returns the root of the repository, derived from the location of the loaded classes. */
+    private static Path repositoryRoot() {
         try {
             Path classes = Path.of(Cluster.class
                     .getProtectionDomain()
@@ -105,8 +108,8 @@
         }
     }
 
-    private Map<Long, String> names() {
-        Map<Long, String> names = new HashMap<>(targets.names());
+    private Map<Long, String> processNames() {
+        Map<Long, String> names = new HashMap<>(standins.processNames());
         entries.forEach(entry -> {
             if (entry.process() != null) {
                 names.put(entry.process().pid(), entry.name());
@@ -116,8 +119,11 @@
         return names;
     }
 
-    private Address via(String name, Address real) {
-        return links == null ? real : relays.computeIfAbsent(name, each -> links.add(each.replace(PEER, ""), real));
+    private Address relayedAddress(String name, Address listenAddress) {
+        return links == null
+                ? listenAddress
+                : relayAddresses.computeIfAbsent(
+                        name, each -> links.add(each.replace(PEER_RELAY_PREFIX, ""), listenAddress));
     }
 
     /** Starts the entries and waits until each is ready. */
@@ -125,15 +131,15 @@
         prepareEntries();
         entries.forEach(EntryNode::start);
         entries.forEach(EntryNode::awaitAddresses);
-        entries.forEach(this::register);
-        await("all entries ready", START_LIMIT, () -> entries.stream().allMatch(EntryNode::isReady));
-        await("all entries know each other", START_LIMIT, this::meshed);
+        entries.forEach(this::registerEntry);
+        await("all entries ready", START_TIMEOUT, () -> entries.stream().allMatch(EntryNode::isReady));
+        await("all entries list each other as members", START_TIMEOUT, this::isMembershipComplete);
         Thread.ofVirtual().name("status").start(this::recordVersions);
     }
 
     private void prepareEntries() {
         List<Integer> ports = IntStream.range(0, options.entries())
-                .mapToObj(i -> Ports.pick())
+                .mapToObj(i -> Ports.findFree())
                 .toList();
         List<String> domains = new ArrayList<>();
         document.path("targets")
@@ -147,59 +153,63 @@
                     .put("deployment", options.deployment())
                     .put("drainSeconds", options.drainSeconds())
                     .put("seed", options.seed() + i);
-            settings.putObject("callers").put("host", "127.0.0.1").put("port", Ports.pick());
-            settings.putObject("operator").put("host", "127.0.0.1").put("port", Ports.pick());
+            settings.putObject("callers").put("host", "127.0.0.1").put("port", Ports.findFree());
+            settings.putObject("operator").put("host", "127.0.0.1").put("port", Ports.findFree());
             ObjectNode peers = settings.putObject("peers")
                     .put("host", "127.0.0.1")
                     .put("port", ports.get(i))
-                    .put("advertised", peer(i, ports.get(i)).toString());
+                    .put("advertised", relayedPeerAddress(i, ports.get(i)).toString());
             for (int other = 0; other < options.entries(); other++) {
                 if (other != i) {
-                    peers.withArray("seeds").add(peer(other, ports.get(other)).toString());
+                    peers.withArray("seeds")
+                            .add(relayedPeerAddress(other, ports.get(other)).toString());
                 }
             }
-            Address platform = via(Targets.PLATFORM, targets.address(Targets.PLATFORM));
+            Address platform = relayedAddress(Standins.PLATFORM, standins.address(Standins.PLATFORM));
             settings.putObject("platform").put("host", platform.host()).put("port", platform.port());
             settings.putArray("streamKeys").add("stream-key-of-a-test-deployment-" + options.deployment());
             entries.add(new EntryNode(name, folder, settings));
         }
     }
 
-    private Address peer(int entry, int port) {
-        return via(PEER + "entry-" + (entry + 1), new Address("127.0.0.1", port));
+    private Address relayedPeerAddress(int entry, int port) {
+        return relayedAddress(PEER_RELAY_PREFIX + "entry-" + (entry + 1), new Address("127.0.0.1", port));
     }
 
-    private void register(EntryNode entry) {
+    private void registerEntry(EntryNode entry) {
         ObjectNode instance = MAPPER.createObjectNode()
                 .put("role", "entry")
-                .put("host", entry.callers().host())
-                .put("port", entry.callers().port())
-                .put("peerPort", via(PEER + entry.name(), entry.peers()).port())
+                .put("host", entry.callerAddress().host())
+                .put("port", entry.callerAddress().port())
+                .put(
+                        "peerPort",
+                        relayedAddress(PEER_RELAY_PREFIX + entry.name(), entry.peerAddress())
+                                .port())
                 .put("failureDomain", "any")
                 .put("state", "live");
-        targets.admin(Targets.PLATFORM, "PUT", "/admin/instances/" + entry.name(), Map.of(), instance.toString());
+        standins.admin(Standins.PLATFORM, "PUT", "/admin/instances/" + entry.name(), Map.of(), instance.toString());
     }
 
-    /** Puts a target on the platform's list of instances. */
-    void listTarget(String id, String state) {
-        Address address = targets.address(id);
+    /** Adds a target to the platform's list of instances, or changes its state there. */
+    void registerTarget(String id, String state) {
+        Address address = standins.address(id);
         ObjectNode instance = MAPPER.createObjectNode()
                 .put("role", "engine")
                 .put("host", address.host())
                 .put("port", address.port())
                 .put("failureDomain", "any")
                 .put("state", state);
-        targets.admin(Targets.PLATFORM, "PUT", "/admin/instances/" + id, Map.of(), instance.toString());
+        standins.admin(Standins.PLATFORM, "PUT", "/admin/instances/" + id, Map.of(), instance.toString());
     }
 
-    /** Tells whether each entry sees all others as live. */
-    boolean meshed() {
+    /** Returns whether each entry lists at least as many members as the cluster has entries, or reports no list. */
+    boolean isMembershipComplete() {
         return entries.stream()
                 .map(entry -> status(entry).path("members"))
                 .allMatch(members -> members.isMissingNode() || members.size() >= entries.size());
     }
 
-    /** Changes the deployment document and publishes it under the next version. */
+    /** Changes the deployment document, publishes it under the next version and returns that version. */
     long publish(Consumer<ObjectNode> change) {
         change.accept(document);
         long version = document.path("version").asLong() + 1;
@@ -214,24 +224,25 @@
         return version;
     }
 
-    /** Publishes another document under the present version, as a second operator does. */
-    void republish(Consumer<ObjectNode> change) {
+    /** Publishes a different document under the current version, as a second operator would. */
+    void publishConflicting(Consumer<ObjectNode> change) {
         ObjectNode other = document.deepCopy();
         change.accept(other);
-        fault("version-conflict", Targets.PLATFORM);
+        recordFault("version-conflict", Standins.PLATFORM);
         publishRaw(other.path("version").asLong(), other.toString());
     }
 
-    /** Publishes any text under a version. */
+    /** Publishes arbitrary text, which need not be a valid document, under a version. */
     void publishRaw(long version, String text) {
-        targets.admin(Targets.PLATFORM, "PUT", "/admin/config", Map.of("Config-Version", Long.toString(version)), text);
+        standins.admin(
+                Standins.PLATFORM, "PUT", "/admin/config", Map.of("Config-Version", Long.toString(version)), text);
     }
 
-    /** Changes how the platform answers. */
-    void platformMode(String mode, long version) {
-        fault("platform-" + mode, Targets.PLATFORM);
-        targets.admin(
-                Targets.PLATFORM,
+    /** Changes how the platform responds to requests. */
+    void setPlatformMode(String mode, long version) {
+        recordFault("platform-" + mode, Standins.PLATFORM);
+        standins.admin(
+                Standins.PLATFORM,
                 "PUT",
                 "/admin/mode",
                 Map.of(),
@@ -244,7 +255,7 @@
     private void recordVersions() {
         while (!closed.get()) {
             entries.forEach(entry -> recordVersion(entry));
-            sleep(STATUS_PERIOD_MS);
+            sleep(STATUS_INTERVAL_MS);
         }
     }
 
@@ -266,75 +277,81 @@
     /** Returns the operator status of an entry. */
     JsonNode status(EntryNode entry) {
         try {
-            return MAPPER.readTree(Admin.request(entry.operator(), "GET", "/operator/status", Map.of(), null));
+            return MAPPER.readTree(
+                    AdminClient.request(entry.operatorAddress(), "GET", "/operator/status", Map.of(), null));
         } catch (IOException e) {
             throw new UncheckedIOException("malformed status of " + entry.name(), e);
         }
     }
 
-    /** Kills an entry process at once. */
+    /** Kills an entry process without a graceful stop. */
     void killEntry(int index) {
-        fault("kill", entries.get(index).name());
+        recordFault("kill", entries.get(index).name());
         entries.get(index).process().kill();
     }
 
-    /** Starts an entry that has ended again, on its old ports, and waits until it is ready. */
+    /** Restarts an entry whose process has ended, on the same ports, and waits until it is ready. */
     void restartEntry(int index) {
         EntryNode entry = entries.get(index);
         entry.start();
         entry.awaitAddresses();
-        await(entry.name() + " ready", START_LIMIT, entry::isReady);
-        stoppedAtMs.remove(index);
+        await(entry.name() + " ready", START_TIMEOUT, entry::isReady);
+        stopRequestedAtMs.remove(index);
     }
 
-    /** Tells whether the platform's load balancer may still send to an entry: it notices a stop with a lag. */
-    boolean isBalancedTo(int index) {
-        return System.currentTimeMillis() - stoppedAtMs.getOrDefault(index, Long.MAX_VALUE) < BALANCER_LAG_MS;
+    /** Returns whether the platform's load balancer may still send to an entry; it notices a stop with a delay. */
+    boolean isInRotation(int index) {
+        return System.currentTimeMillis() - stopRequestedAtMs.getOrDefault(index, Long.MAX_VALUE)
+                < LOAD_BALANCER_LAG_MS;
     }
 
     /** Asks an entry to stop gracefully. */
     void stopEntry(int index) {
         history.add(new Stop(System.currentTimeMillis(), entries.get(index).name()));
-        stoppedAtMs.put(index, System.currentTimeMillis());
+        stopRequestedAtMs.put(index, System.currentTimeMillis());
         entries.get(index).process().terminate();
     }
 
-    /** Kills a target that runs in a process of its own. */
+    /** Kills a target that runs in a separate process. */
     void killTarget(String id) {
-        fault("kill", id);
-        targets.process(id).kill();
+        recordFault("kill", id);
+        standins.process(id).kill();
     }
 
-    /** Makes a target report that it is leaving and refuse new work. */
+    /** Makes a target report that it is leaving and reject new work. */
     void announceLeaving(String id) {
         history.add(new Leaving(System.currentTimeMillis(), id));
-        targets.change(id, "{\"leaving\":true}");
+        standins.changeOptions(id, "{\"leaving\":true}");
     }
 
     /** Records an injected fault. */
-    void fault(String what, String subject) {
-        history.add(new Fault(System.currentTimeMillis(), what, subject));
+    void recordFault(String fault, String subject) {
+        history.add(new Fault(System.currentTimeMillis(), fault, subject));
     }
 
     /** Adds the runs of all targets to the history and returns it. */
-    History collect() {
+    History collectHistory() {
         closed.set(true);
-        targets.collect(history);
+        standins.addRuns(history);
         return history;
     }
 
-    /** Waits for a condition, and fails with its name when the limit has passed. */
-    static void await(String what, Duration limit, BooleanSupplier condition) {
-        long end = System.nanoTime() + limit.toNanos();
-        while (!holds(condition)) {
-            if (System.nanoTime() - end > 0) {
-                throw new IllegalStateException("not within " + limit.toSeconds() + " s: " + what);
+    /**
+     * Waits for a condition.
+     *
+     * @throws IllegalStateException if the condition is not met within the timeout; its message has the description
+     */
+    static void await(String description, Duration timeout, BooleanSupplier condition) {
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
+        while (!isMet(condition)) {
+            if (System.nanoTime() - deadlineNanos > 0) {
+                throw new IllegalStateException("not within " + timeout.toSeconds() + " s: " + description);
             }
             sleep(20);
         }
     }
 
-    private static boolean holds(BooleanSupplier condition) {
+    private static boolean isMet(BooleanSupplier condition) {
         try {
             return condition.getAsBoolean();
         } catch (UncheckedIOException | IllegalStateException e) {
@@ -363,9 +380,9 @@
         return entries.get(index).name();
     }
 
-    Address callers(int index) {
+    Address callerAddress(int index) {
         EntryNode entry = entries.get(index);
-        return via(entry.name(), entry.callers());
+        return relayedAddress(entry.name(), entry.callerAddress());
     }
 
     History history() {
@@ -376,8 +393,8 @@
         return deployment;
     }
 
-    Targets targets() {
-        return targets;
+    Standins standins() {
+        return standins;
     }
 
     Links links() {
@@ -399,8 +416,8 @@
                 entry.process().close();
             }
         });
-        if (targets != null) {
-            targets.close();
+        if (standins != null) {
+            standins.close();
         }
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/DemoMain.java
+++ b/tools/src/main/java/org/verbenatally/faults/DemoMain.java
@@ -16,16 +16,16 @@
 import org.verbenatally.history.Rule;
 
 /**
- * Runs three entries in front of a deployment's real number of stand-in targets, sends mixed work, and checks every
- * answer. The last line is a JSON object with the figures. Status 0: nothing was lost, doubled or mixed; 1: something
- * was; 2: wrong arguments.
+ * Runs three entries with as many stand-in targets as the deployment has, sends work items of all kinds, and checks
+ * every response. The last line is a JSON object with the figures. Exit status 0: no response was lost, duplicated or
+ * mixed up; 1: at least one was; 2: wrong arguments.
  */
 public final class DemoMain {
     private static final int ENTRIES = 3;
-    private static final int PATIENCE_MS = 30_000;
-    private static final int MIN_PER_SECOND = 25;
-    /** Sending takes at most this long, so that the whole demo stays under a minute. */
-    private static final int SEND_SECONDS = 20;
+    private static final int CALLER_TIMEOUT_MS = 30_000;
+    private static final int MIN_REQUESTS_PER_SECOND = 25;
+    /** Sending takes at most this long, so that the demo ends within a minute. */
+    private static final int MAX_SEND_SECONDS = 20;
 
     private DemoMain() {}
 
@@ -35,12 +35,12 @@
                 .run(args, DemoMain::run));
     }
 
-    private static int run(CommandLine line) {
-        boolean clean = run(
-                line.getOptionValue("deployment", "abay"),
-                Integer.parseInt(line.getOptionValue("requests", "300")),
-                Long.parseLong(line.getOptionValue("seed", "1")));
-        return clean ? Program.OK : Program.FAILED;
+    private static int run(CommandLine commandLine) {
+        boolean passed = run(
+                commandLine.getOptionValue("deployment", "abay"),
+                Integer.parseInt(commandLine.getOptionValue("requests", "300")),
+                Long.parseLong(commandLine.getOptionValue("seed", "1")));
+        return passed ? Program.OK : Program.FAILED;
     }
 
     private static Options options() {
@@ -53,12 +53,12 @@
     private static boolean run(String deployment, int requests, long seed) {
         System.out.println("demo: starting " + deployment + " with " + ENTRIES + " entries, seed " + seed);
         try (Cluster cluster = Cluster.start(ClusterOptions.of(deployment, ENTRIES, seed))) {
-            Workload workload = new Workload(cluster, seed, PATIENCE_MS);
+            Workload workload = new Workload(cluster, seed, CALLER_TIMEOUT_MS);
             Thread progress = Thread.ofVirtual().start(() -> report(workload, requests));
-            workload.run(requests, Math.max(MIN_PER_SECOND, (double) requests / SEND_SECONDS));
+            workload.run(requests, Math.max(MIN_REQUESTS_PER_SECOND, (double) requests / MAX_SEND_SECONDS));
             progress.interrupt();
             long preemptions = preemptions(cluster);
-            History history = cluster.collect();
+            History history = cluster.collectHistory();
             HistoryReport report = new HistoryChecker().check(history);
             report.violations().forEach(violation -> System.out.println("demo: " + violation));
             System.out.println(summary(cluster, history, report, requests, preemptions));
@@ -81,7 +81,7 @@
         long sum = 0;
         for (var target : cluster.deployment().targets().values()) {
             if (target.type() == TargetType.ENGINE) {
-                sum += json(cluster.targets()
+                sum += json(cluster.standins()
                                 .admin(target.id().toString(), "GET", "/admin/state", java.util.Map.of(), null))
                         .path("preemptions")
                         .asLong();
@@ -94,7 +94,7 @@
         try {
             return new ObjectMapper().readTree(text);
         } catch (IOException e) {
-            throw new UncheckedIOException("malformed answer of a stand-in", e);
+            throw new UncheckedIOException("malformed response of a stand-in", e);
         }
     }
 
@@ -111,7 +111,7 @@
                 .put("duplicated", report.broken(Rule.AT_MOST_ONCE))
                 .put("reordered", report.broken(Rule.TOKENS_ONCE))
                 .put("mixed", report.broken(Rule.ANSWERS_MATCH));
-        summary.setAll(new Timings(history, levels.firstTokenMs(), levels.tokenGapMs()).json());
+        summary.setAll(new StreamTimings(history, levels.firstTokenMs(), levels.tokenGapMs()).json());
         return summary.put("preemptions", preemptions);
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/EntryNode.java
+++ b/tools/src/main/java/org/verbenatally/faults/EntryNode.java
@@ -9,32 +9,33 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.verbenatally.core.Address;
 
-/** One entry instance of a cluster: its settings, its present process and its addresses. */
+/** One entry instance of a cluster: its settings, its current process and its addresses. */
 final class EntryNode {
-    private static final String MAIN = "org.verbenatally.entry.EntryMain";
+    private static final String MAIN_CLASS = "org.verbenatally.entry.EntryMain";
 
-    private static final int START_TRIES = 3;
+    private static final int MAX_START_TRIES = 3;
 
     private final String name;
     private final Path folder;
     private final ObjectNode settings;
     private volatile ChildProcess process;
-    private volatile Address callers;
-    private volatile Address operator;
-    private final Address peers;
+    private volatile Address callerAddress;
+    private volatile Address operatorAddress;
+    private final Address peerAddress;
 
     EntryNode(String name, Path folder, ObjectNode settings) {
         this.name = name;
         this.folder = folder;
         this.settings = settings;
-        peers = new Address("127.0.0.1", settings.path("peers").path("port").asInt());
+        peerAddress =
+                new Address("127.0.0.1", settings.path("peers").path("port").asInt());
     }
 
-    /** Starts the process without waiting for its addresses; after a first run it gets the same ports again. */
+    /** Starts the process without waiting for its addresses. A restarted entry uses the same ports as before. */
     void start() {
-        if (callers != null) {
-            ((ObjectNode) settings.path("callers")).put("port", callers.port());
-            ((ObjectNode) settings.path("operator")).put("port", operator.port());
+        if (callerAddress != null) {
+            ((ObjectNode) settings.path("callers")).put("port", callerAddress.port());
+            ((ObjectNode) settings.path("operator")).put("port", operatorAddress.port());
         }
         Path file = folder.resolve(name + ".settings.json");
         try {
@@ -42,46 +43,46 @@
         } catch (IOException e) {
             throw new UncheckedIOException("cannot write " + file, e);
         }
-        process = ChildProcess.start(name, folder, MAIN, List.of("--settings", file.toString()));
+        process = ChildProcess.start(name, folder, MAIN_CLASS, List.of("--settings", file.toString()));
     }
 
-    /** Waits until the process has printed where it listens; starts it again if another process took a port. */
+    /** Waits until the process has printed its addresses. Restarts it if another process has taken one of its ports. */
     void awaitAddresses() {
-        String line = awaitListening();
+        String line = awaitListeningLine();
         for (String part : line.split(" ")) {
             int equals = part.indexOf('=');
             String value = part.substring(equals + 1);
             switch (equals < 0 ? part : part.substring(0, equals)) {
-                case "callers" -> callers = Address.parse(value);
-                case "operator" -> operator = Address.parse(value);
+                case "callers" -> callerAddress = Address.parse(value);
+                case "operator" -> operatorAddress = Address.parse(value);
                 default -> {
-                    // The first word, or an address that is of no interest here.
+                    // The first word, or an address that is not needed here.
                 }
             }
         }
-        if (callers == null || operator == null) {
+        if (callerAddress == null || operatorAddress == null) {
             throw new IllegalStateException(name + " printed an unexpected line: " + line);
         }
     }
 
-    private String awaitListening() {
+    private String awaitListeningLine() {
         for (int i = 1; ; i++) {
             try {
                 return process.awaitLine("listening").getLast();
             } catch (IllegalStateException e) {
-                if (i == START_TRIES || !portWasTaken()) {
+                if (i == MAX_START_TRIES || !isPortTaken()) {
                     throw e;
                 }
-                if (callers == null) {
-                    ((ObjectNode) settings.path("callers")).put("port", Ports.pick());
-                    ((ObjectNode) settings.path("operator")).put("port", Ports.pick());
+                if (callerAddress == null) {
+                    ((ObjectNode) settings.path("callers")).put("port", Ports.findFree());
+                    ((ObjectNode) settings.path("operator")).put("port", Ports.findFree());
                 }
                 start();
             }
         }
     }
 
-    private boolean portWasTaken() {
+    private boolean isPortTaken() {
         try {
             return Files.readString(folder.resolve(name + ".log")).contains("Address already in use");
         } catch (IOException e) {
@@ -97,19 +98,19 @@
         return process;
     }
 
-    Address callers() {
-        return callers;
+    Address callerAddress() {
+        return callerAddress;
     }
 
-    Address operator() {
-        return operator;
+    Address operatorAddress() {
+        return operatorAddress;
     }
 
-    Address peers() {
-        return peers;
+    Address peerAddress() {
+        return peerAddress;
     }
 
     boolean isReady() {
-        return process.isAlive() && Admin.status(operator, "/ready") == 200;
+        return process.isAlive() && AdminClient.status(operatorAddress, "/ready") == 200;
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/FaultCase.java
+++ b/tools/src/main/java/org/verbenatally/faults/FaultCase.java
@@ -6,18 +6,18 @@
  * One case of the fault table.
  *
  * @param name short name
- * @param options what it runs on, by seed
- * @param body what happens; ends with all requests answered
+ * @param options returns the options of the cluster for a given seed
+ * @param body the steps of the case; it returns after every request has ended
  */
 record FaultCase(String name, LongFunction<ClusterOptions> options, Body body) {
 
-    /** Sends work and injects faults. */
+    /** The steps of a case: they send requests and inject faults. */
     @FunctionalInterface
     interface Body {
         /**
          * Runs the case.
          *
-         * @throws RuntimeException if a condition is not reached in time; the case then counts as broken
+         * @throws RuntimeException if a condition is not met in time; the case then counts as broken
          */
         void run(Trial trial);
     }
@@ -27,14 +27,14 @@
         return new FaultCase(name, seed -> ClusterOptions.of("abay", 3, seed), body);
     }
 
-    /** Returns a case on the abay deployment with three entries and relays in front of all processes. */
-    static FaultCase abayLinks(String name, Body body) {
-        return new FaultCase(name, seed -> ClusterOptions.of("abay", 3, seed).withLinks(), body);
+    /** Returns a case on the abay deployment with three entries and a relay in front of each process. */
+    static FaultCase abayWithRelays(String name, Body body) {
+        return new FaultCase(name, seed -> ClusterOptions.of("abay", 3, seed).withRelays(), body);
     }
 
-    /** Returns a case on the abay deployment in which some targets have processes of their own. */
-    static FaultCase abayApart(String name, Body body, String... targets) {
-        return new FaultCase(name, seed -> ClusterOptions.of("abay", 3, seed).withApart(targets), body);
+    /** Returns a case on the abay deployment with three entries; the given targets run in separate processes. */
+    static FaultCase abayWithSeparateTargets(String name, Body body, String... targets) {
+        return new FaultCase(name, seed -> ClusterOptions.of("abay", 3, seed).withSeparateTargets(targets), body);
     }
 
     /** Returns a case on the aarhus deployment with three entries. */
--- a/tools/src/main/java/org/verbenatally/faults/HttpCall.java
+++ b/tools/src/main/java/org/verbenatally/faults/HttpCall.java
@@ -15,32 +15,33 @@
 import org.verbenatally.core.Address;
 
 /**
- * One HTTP/1.1 exchange on a connection of its own. A library client hides what the fault cases need: a read timeout
- * within a stream, a reset, a slow reader, and the difference between the end of a body and a lost connection.
+ * One HTTP/1.1 exchange on a separate connection. It is written without a client library because libraries hide what
+ * the fault cases need: a read timeout within a stream, a reset, a slow reader, and the difference between the end of a
+ * body and a lost connection.
  */
 final class HttpCall implements AutoCloseable {
-    private static final int CONNECT_MS = 2_000;
+    private static final int CONNECT_TIMEOUT_MS = 2_000;
 
     private final Socket socket = new Socket();
     private final Map<String, String> headers = new HashMap<>();
     private InputStream in;
     private int status;
     private boolean chunked;
-    private long left;
+    private long remaining;
 
     private HttpCall() {}
 
     /**
-     * Connects. A failure here means that nothing was sent.
+     * Opens a connection. If this fails, nothing was sent.
      *
-     * @param silenceMs longest time without a byte, in milliseconds; reads then fail
+     * @param silenceTimeoutMs longest time without received data, in milliseconds, after which a read fails
      */
-    static HttpCall connect(Address to, int silenceMs) throws IOException {
+    static HttpCall connect(Address address, int silenceTimeoutMs) throws IOException {
         HttpCall call = new HttpCall();
         try {
             call.socket.setTcpNoDelay(true);
-            call.socket.setSoTimeout(silenceMs);
-            call.socket.connect(new InetSocketAddress(to.host(), to.port()), CONNECT_MS);
+            call.socket.setSoTimeout(silenceTimeoutMs);
+            call.socket.connect(new InetSocketAddress(address.host(), address.port()), CONNECT_TIMEOUT_MS);
             call.in = new BufferedInputStream(call.socket.getInputStream());
             return call;
         } catch (IOException e) {
@@ -49,17 +50,17 @@
         }
     }
 
-    /** Sends a request and reads the head of the answer. */
-    HttpCall exchange(String method, String path, Map<String, String> fields, byte[] body) throws IOException {
-        send(method, path, fields, body);
+    /** Sends a request and reads the status line and headers of the response. */
+    HttpCall exchange(String method, String path, Map<String, String> requestHeaders, byte[] body) throws IOException {
+        send(method, path, requestHeaders, body);
         readHead();
         return this;
     }
 
-    /** Sends a request without waiting for the answer. */
-    void send(String method, String path, Map<String, String> fields, byte[] body) throws IOException {
+    /** Sends a request without waiting for the response. */
+    void send(String method, String path, Map<String, String> requestHeaders, byte[] body) throws IOException {
         StringBuilder head = new StringBuilder(method + " " + path + " HTTP/1.1\r\nHost: entry\r\n");
-        fields.forEach(
+        requestHeaders.forEach(
                 (name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
         if (body != null) {
             head.append("Content-Type: application/json\r\nContent-Length: ")
@@ -75,22 +76,22 @@
         socket.getOutputStream().write(message.toByteArray());
     }
 
-    /** Reads the status line and the headers. */
+    /** Reads the status line and the headers of the response. */
     void readHead() throws IOException {
-        String line = rawLine();
+        String line = readLine();
         String[] parts = line.split(" ", 3);
         if (parts.length < 2) {
             throw new IOException("malformed status line");
         }
         status = Integer.parseInt(parts[1]);
-        for (String field = rawLine(); !field.isEmpty(); field = rawLine()) {
+        for (String field = readLine(); !field.isEmpty(); field = readLine()) {
             int colon = field.indexOf(':');
             headers.put(
                     field.substring(0, colon).toLowerCase(Locale.ROOT),
                     field.substring(colon + 1).trim());
         }
         chunked = "chunked".equalsIgnoreCase(headers.get("transfer-encoding"));
-        left = chunked || status == 204 ? 0 : Long.parseLong(headers.getOrDefault("content-length", "-1"));
+        remaining = chunked || status == 204 ? 0 : Long.parseLong(headers.getOrDefault("content-length", "-1"));
     }
 
     int status() {
@@ -101,43 +102,43 @@
         return headers.get(name.toLowerCase(Locale.ROOT));
     }
 
-    /** Returns the next byte of the body, or -1 at its proper end; fails if the connection ends before that. */
-    int read() throws IOException {
-        if (chunked && left == 0) {
-            left = nextChunk();
-            if (left == 0) {
+    /** Returns the next byte of the body, or -1 at its end. Fails if the connection ends before that. */
+    int readBodyByte() throws IOException {
+        if (chunked && remaining == 0) {
+            remaining = readChunkSize();
+            if (remaining == 0) {
                 chunked = false;
                 return -1;
             }
         }
-        if (left == 0) {
+        if (remaining == 0) {
             return -1;
         }
         int next = in.read();
-        if (next < 0 && left > 0) {
+        if (next < 0 && remaining > 0) {
             throw new EOFException("connection ended within the body");
         }
-        if (left > 0) {
-            left--;
-            if (chunked && left == 0) {
-                rawLine();
+        if (remaining > 0) {
+            remaining--;
+            if (chunked && remaining == 0) {
+                readLine();
             }
         }
         return next;
     }
 
-    private long nextChunk() throws IOException {
-        long size = Long.parseLong(rawLine().split(";")[0].trim(), 16);
+    private long readChunkSize() throws IOException {
+        long size = Long.parseLong(readLine().split(";")[0].trim(), 16);
         if (size == 0) {
-            rawLine();
+            readLine();
         }
         return size;
     }
 
-    /** Returns the next line of the body without its end, or {@code null} at the end of the body. */
-    String line() throws IOException {
+    /** Returns the next line of the body without its line terminator, or {@code null} at the end of the body. */
+    String readBodyLine() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        int next = read();
+        int next = readBodyByte();
         if (next < 0) {
             return null;
         }
@@ -145,21 +146,21 @@
             if (next != '\r') {
                 bytes.write(next);
             }
-            next = read();
+            next = readBodyByte();
         }
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
     /** Returns the rest of the body. */
-    String rest() throws IOException {
+    String readRemainingBody() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        for (int next = read(); next >= 0; next = read()) {
+        for (int next = readBodyByte(); next >= 0; next = readBodyByte()) {
             bytes.write(next);
         }
         return bytes.toString(StandardCharsets.UTF_8);
     }
 
-    private String rawLine() throws IOException {
+    private String readLine() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         int next = in.read();
         while (next >= 0 && next != '\n') {
@@ -169,7 +170,7 @@
             next = in.read();
         }
         if (next < 0) {
-            throw new EOFException("connection ended within the head");
+            throw new EOFException("connection ended within a header or chunk-size line");
         }
         return bytes.toString(StandardCharsets.ISO_8859_1);
     }
@@ -179,7 +180,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // The socket is already closed.
         }
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/Links.java
+++ b/tools/src/main/java/org/verbenatally/faults/Links.java
@@ -17,96 +17,100 @@
 import org.verbenatally.core.Address;
 
 /**
- * Relays in front of the processes of a cluster. Bytes from one process to another can be held back, as a partition
- * does; they arrive when the link heals. Open connections can also be silenced for good while new ones work.
+ * Relays in front of the processes of a cluster. To simulate a partition, the bytes from one process to another can be
+ * held back; they are delivered when the link heals. Open connections can also be silenced permanently while new ones
+ * work.
  */
 final class Links implements AutoCloseable {
-    private static final int BUFFER = 16_384;
-    private static final int CONNECT_MS = 5_000;
-    private static final int RECHECK_MS = 500;
-    private static final BiPredicate<String, String> NOTHING = (from, to) -> false;
+    private static final int BUFFER_BYTES = 16_384;
+    private static final int CONNECT_TIMEOUT_MS = 5_000;
+    private static final int RECHECK_INTERVAL_MS = 500;
+    private static final BiPredicate<String, String> HOLD_NONE = (from, to) -> false;
 
     private final SocketOwners owners;
     private final List<ServerSocket> listeners = new CopyOnWriteArrayList<>();
     private final List<Connection> connections = new CopyOnWriteArrayList<>();
-    private final Object changed = new Object();
-    private volatile BiPredicate<String, String> held = NOTHING;
+    private final Object holdRuleChanged = new Object();
+    private volatile BiPredicate<String, String> holdRule = HOLD_NONE;
 
-    /** One relayed connection to a named process; who opened it is looked up when a fault needs to know. */
+    /** One relayed connection to a named process. The process that opened it is looked up when a fault needs it. */
     private final class Connection {
         private final String to;
-        private final Socket near;
-        private final Socket far = new Socket();
+        private final Socket inbound;
+        private final Socket outbound = new Socket();
         private volatile String from;
         private volatile boolean silenced;
 
-        Connection(String to, Socket near) {
+        Connection(String to, Socket inbound) {
             this.to = to;
-            this.near = near;
+            this.inbound = inbound;
         }
 
         String from() {
             if (from == null) {
-                from = owners.find(near.getPort(), near.getLocalPort()).orElse("unknown");
+                from = owners.find(inbound.getPort(), inbound.getLocalPort()).orElse("unknown");
             }
             return from;
         }
 
         boolean isHeld(boolean forward) {
-            BiPredicate<String, String> rule = held;
-            return silenced || (rule != NOTHING && (forward ? rule.test(from(), to) : rule.test(to, from())));
+            BiPredicate<String, String> rule = holdRule;
+            return silenced || (rule != HOLD_NONE && (forward ? rule.test(from(), to) : rule.test(to, from())));
         }
 
-        /** Waits while bytes may not flow in a direction. */
-        void awaitOpen(boolean forward) throws InterruptedException {
-            boolean wait = isHeld(forward);
-            while (wait) {
-                synchronized (changed) {
-                    changed.wait(RECHECK_MS);
+        /** Waits while bytes in the given direction are held back. */
+        void awaitNotHeld(boolean forward) throws InterruptedException {
+            boolean held = isHeld(forward);
+            while (held) {
+                synchronized (holdRuleChanged) {
+                    holdRuleChanged.wait(RECHECK_INTERVAL_MS);
                 }
-                wait = isHeld(forward);
+                held = isHeld(forward);
             }
         }
     }
 
     /**
-     * Creates relays.
+     * Creates an instance without relays.
      *
-     * @param names names of the processes by process id, as of the call
+     * @param names returns the current names of the processes by process id
      */
     Links(Supplier<Map<Long, String>> names) {
         owners = new SocketOwners(names);
     }
 
-    /** Puts a relay in front of an address and returns where it listens. */
-    Address add(String to, Address real) {
+    /** Starts a relay in front of an address and returns the address at which the relay listens. */
+    Address add(String to, Address destination) {
         try {
-            ServerSocket listener = new ServerSocket(0, 256, InetAddress.getByName(real.host()));
+            ServerSocket listener = new ServerSocket(0, 256, InetAddress.getByName(destination.host()));
             listeners.add(listener);
-            Thread.ofVirtual().name("relay-" + to).start(() -> accept(to, real, listener));
-            return new Address(real.host(), listener.getLocalPort());
+            Thread.ofVirtual().name("relay-" + to).start(() -> accept(to, destination, listener));
+            return new Address(destination.host(), listener.getLocalPort());
         } catch (IOException e) {
             throw new UncheckedIOException("cannot open a relay to " + to, e);
         }
     }
 
-    /** Holds back all bytes that flow from the first to the second process whenever the predicate says so. */
+    /** Holds back all bytes from the first to the second process of each pair for which the predicate holds. */
     void hold(BiPredicate<String, String> fromTo) {
-        held = fromTo;
-        wake();
+        holdRule = fromTo;
+        notifyWaiters();
     }
 
-    /** Holds back all bytes between two groups of processes; a name that is in neither group is connected to both. */
+    /** Holds back all bytes between two groups of processes. A process in neither group stays connected to both. */
     void partition(List<String> left, List<String> right) {
         hold((from, to) -> (left.contains(from) && right.contains(to)) || (right.contains(from) && left.contains(to)));
     }
 
-    /** Lets all bytes that were held back flow again. Silenced connections stay silent. */
+    /** Delivers all bytes that were held back. Silenced connections stay silent. */
     void heal() {
-        hold(NOTHING);
+        hold(HOLD_NONE);
     }
 
-    /** Silences the open connections for which the predicate holds, for good and in both directions. */
+    /**
+     * Silences the open connections for which the predicate holds, permanently and in both directions. Returns how many
+     * connections were silenced by this call.
+     */
     int silence(BiPredicate<String, String> fromTo) {
         int count = 0;
         for (Connection connection : connections) {
@@ -118,91 +122,92 @@
         return count;
     }
 
-    private void wake() {
-        synchronized (changed) {
-            changed.notifyAll();
+    private void notifyWaiters() {
+        synchronized (holdRuleChanged) {
+            holdRuleChanged.notifyAll();
         }
     }
 
-    private void accept(String to, Address real, ServerSocket listener) {
+    private void accept(String to, Address destination, ServerSocket listener) {
         while (!listener.isClosed()) {
             try {
-                Socket near = listener.accept();
-                Thread.ofVirtual().start(() -> relay(to, real, near));
+                Socket inbound = listener.accept();
+                Thread.ofVirtual().start(() -> relay(to, destination, inbound));
             } catch (IOException e) {
-                // The listener was closed, or the connection was gone before it was accepted.
+                // The listener was closed, or the connection was closed before it was accepted.
             }
         }
     }
 
-    private void relay(String to, Address real, Socket near) {
-        Connection connection = new Connection(to, near);
+    private void relay(String to, Address destination, Socket inbound) {
+        Connection connection = new Connection(to, inbound);
         try {
-            near.setTcpNoDelay(true);
-            connection.far.setTcpNoDelay(true);
-            connection.awaitOpen(true);
-            connection.far.connect(new InetSocketAddress(real.host(), real.port()), CONNECT_MS);
+            inbound.setTcpNoDelay(true);
+            connection.outbound.setTcpNoDelay(true);
+            connection.awaitNotHeld(true);
+            connection.outbound.connect(
+                    new InetSocketAddress(destination.host(), destination.port()), CONNECT_TIMEOUT_MS);
         } catch (IOException e) {
-            reset(near);
+            reset(inbound);
             return;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
         }
         connections.add(connection);
-        Thread.ofVirtual().start(() -> pump(connection, false));
-        pump(connection, true);
+        Thread.ofVirtual().start(() -> copyBytes(connection, false));
+        copyBytes(connection, true);
     }
 
-    private void pump(Connection connection, boolean forward) {
-        Socket in = forward ? connection.near : connection.far;
-        Socket out = forward ? connection.far : connection.near;
-        byte[] buffer = new byte[BUFFER];
-        boolean clean = false;
+    private void copyBytes(Connection connection, boolean forward) {
+        Socket in = forward ? connection.inbound : connection.outbound;
+        Socket out = forward ? connection.outbound : connection.inbound;
+        byte[] buffer = new byte[BUFFER_BYTES];
+        boolean endOfStream = false;
         try {
             InputStream source = in.getInputStream();
             OutputStream sink = out.getOutputStream();
             int read = source.read(buffer);
             while (read >= 0) {
-                connection.awaitOpen(forward);
+                connection.awaitNotHeld(forward);
                 sink.write(buffer, 0, read);
                 read = source.read(buffer);
             }
-            clean = true;
+            endOfStream = true;
         } catch (IOException e) {
-            // The end of the connection is passed on below.
+            // The end of the connection is forwarded below.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         try {
-            // A cut link passes on neither data nor the end of the connection.
-            connection.awaitOpen(forward);
+            // A cut link forwards neither data nor the end of the connection.
+            connection.awaitNotHeld(forward);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        if (clean) {
-            close(out);
+        if (endOfStream) {
+            shutDownOutput(out);
         } else {
             connections.remove(connection);
             reset(out);
             reset(in);
         }
-        if (connection.near.isOutputShutdown() && connection.far.isOutputShutdown()) {
+        if (connection.inbound.isOutputShutdown() && connection.outbound.isOutputShutdown()) {
             connections.remove(connection);
-            release(in);
-            release(out);
+            closeQuietly(in);
+            closeQuietly(out);
         }
     }
 
-    private static void release(Socket socket) {
+    private static void closeQuietly(Socket socket) {
         try {
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // The socket is already closed.
         }
     }
 
-    private static void close(Socket socket) {
+    private static void shutDownOutput(Socket socket) {
         try {
             socket.shutdownOutput();
         } catch (IOException e) {
@@ -215,7 +220,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
         } catch (IOException e) {
-            // It is closed already.
+            // The socket is already closed.
         }
     }
 
@@ -226,13 +231,13 @@
             try {
                 listener.close();
             } catch (IOException e) {
-                // It is closed already.
+                // The listener is already closed.
             }
         }
         connections.forEach(connection -> {
             connection.silenced = false;
-            reset(connection.near);
-            reset(connection.far);
+            reset(connection.inbound);
+            reset(connection.outbound);
         });
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/PairCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/PairCases.java
@@ -11,14 +11,14 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.verbenatally.history.HistoryRecord.Answer;
 
-/** Cases in which two faults hit a working cluster at random moments. Only the invariants are judged. */
+/** Cases that inject two faults into a loaded cluster at random times. Only the invariants are checked. */
 final class PairCases {
     private static final String ENGINE = "engine-1";
-    private static final int SPREAD_MS = 2_500;
+    private static final int FAULT_WINDOW_MS = 2_500;
 
     private PairCases() {}
 
-    /** A fault that can be combined with others and is undone before it returns. */
+    /** A fault that can be combined with others. {@code apply} undoes it, where it can be undone, before it returns. */
     private record Injection(String name, Consumer<Trial> apply) {}
 
     private static final List<Injection> INJECTIONS = List.of(
@@ -29,11 +29,11 @@
             }),
             new Injection("stop-entry", trial -> {
                 trial.cluster().stopEntry(1);
-                trial.cluster().entry(1).process().awaitExit(Trial.LIMIT);
+                trial.cluster().entry(1).process().awaitExit(Trial.CONDITION_TIMEOUT);
                 trial.cluster().restartEntry(1);
             }),
             new Injection("pause-entry", trial -> {
-                trial.cluster().fault("pause", "entry-3");
+                trial.cluster().recordFault("pause", "entry-3");
                 trial.cluster().entry(2).process().pause();
                 Cluster.sleep(3_000);
                 trial.cluster().entry(2).process().resume();
@@ -41,19 +41,19 @@
             new Injection("kill-engine", trial -> {
                 trial.cluster().killTarget(ENGINE);
                 Cluster.sleep(1_500);
-                trial.cluster().targets().restart(ENGINE);
+                trial.cluster().standins().restart(ENGINE);
             }),
             new Injection("poison", trial -> {
-                Work poison = trial.guide(50, "[crash=5]");
+                WorkItem poison = trial.streamedWork(50, "[crash=5]");
                 IntStream.range(0, 4).forEach(i -> {
-                    trial.cluster().fault("crash-request", "engines");
+                    trial.cluster().recordFault("crash-request", "engines");
                     trial.await(trial.send(poison, i % 3));
                 });
             }),
             new Injection("platform-down", trial -> {
-                trial.cluster().platformMode("down", 0);
+                trial.cluster().setPlatformMode("down", 0);
                 Cluster.sleep(3_000);
-                trial.cluster().platformMode("up", 0);
+                trial.cluster().setPlatformMode("up", 0);
             }),
             new Injection(
                     "publish",
@@ -62,28 +62,28 @@
                         Cluster.sleep(400);
                     })),
             new Injection("silence", trial -> {
-                trial.cluster().fault("silence", "all open connections of entry-1");
+                trial.cluster().recordFault("silence", "all open connections of entry-1");
                 trial.cluster().links().silence((from, to) -> from.equals("entry-1") || to.equals("entry-1"));
             }),
             new Injection("partition", trial -> {
-                trial.cluster().fault("partition", "entry-3");
+                trial.cluster().recordFault("partition", "entry-3");
                 trial.cluster().links().partition(List.of("entry-3"), List.of("entry-1", "entry-2"));
                 Cluster.sleep(5_000);
                 trial.cluster().links().heal();
             }),
             new Injection("one-way", trial -> {
-                trial.cluster().fault("one-way", "entry-2 to engines");
+                trial.cluster().recordFault("one-way", "entry-2 to engines");
                 trial.cluster().links().hold((from, to) -> from.equals("entry-2") && to.startsWith("engine-"));
                 Cluster.sleep(3_000);
                 trial.cluster().links().heal();
             }),
             new Injection("leaving", trial -> trial.cluster().announceLeaving("engine-2")),
             new Injection("service-resets", trial -> {
-                trial.cluster().fault("reset-after-run", "services");
-                trial.changeServices("{\"fault\":\"reset-after-run\",\"faultCount\":3}");
+                trial.cluster().recordFault("reset-after-run", "services");
+                trial.changeServiceOptions("{\"fault\":\"reset-after-run\",\"faultCount\":3}");
             }));
 
-    /** Returns a number of pairs drawn at random. */
+    /** Returns the given number of random pairs. */
     static List<FaultCase> random(int count, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         List<FaultCase> cases = new ArrayList<>();
@@ -95,47 +95,48 @@
         return cases;
     }
 
-    /** Returns the pair with a name such as {@code kill-entry+publish}. */
-    static Optional<FaultCase> named(String name) {
+    /** Returns the pair with the given name, such as {@code kill-entry+publish}, or empty if there is none. */
+    static Optional<FaultCase> byName(String name) {
         String[] parts = name.split("\\+");
         return parts.length != 2
                 ? Optional.empty()
-                : find(parts[0]).flatMap(first -> find(parts[1]).map(second -> pair(first, second)));
+                : findInjection(parts[0])
+                        .flatMap(first -> findInjection(parts[1]).map(second -> pair(first, second)));
     }
 
-    private static Optional<Injection> find(String name) {
+    private static Optional<Injection> findInjection(String name) {
         return INJECTIONS.stream().filter(each -> each.name().equals(name)).findFirst();
     }
 
     private static FaultCase pair(Injection first, Injection second) {
         return new FaultCase(
                 first.name() + "+" + second.name(),
-                seed -> ClusterOptions.of("abay", 3, seed).withLinks().withApart(ENGINE),
+                seed -> ClusterOptions.of("abay", 3, seed).withRelays().withSeparateTargets(ENGINE),
                 trial -> run(trial, first, second));
     }
 
     private static void run(Trial trial, Injection first, Injection second) {
         Workload workload = trial.workload().start(20);
-        List<CompletableFuture<Answer>> copies = new ArrayList<>();
-        List<Work> works = new ArrayList<>();
-        IntStream.range(0, 9).forEach(i -> works.add(trial.booking(i % 3)));
-        List<CompletableFuture<Void>> faults = new ArrayList<>();
+        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<WorkItem> workItems = new ArrayList<>();
+        IntStream.range(0, 9).forEach(i -> workItems.add(trial.keyedWork(i % 3)));
+        List<CompletableFuture<Void>> injections = new ArrayList<>();
         for (Injection each : List.of(first, second)) {
-            int delay = trial.random().nextInt(SPREAD_MS);
-            faults.add(CompletableFuture.runAsync(
+            int delayMs = trial.random().nextInt(FAULT_WINDOW_MS);
+            injections.add(CompletableFuture.runAsync(
                     () -> {
-                        Cluster.sleep(delay);
+                        Cluster.sleep(delayMs);
                         each.apply().accept(trial);
                     },
                     task -> Thread.ofVirtual().start(task)));
         }
-        for (Work work : works) {
-            IntStream.range(0, 3).forEach(entry -> copies.add(trial.send(work, entry)));
-            Cluster.sleep(SPREAD_MS / works.size());
+        for (WorkItem work : workItems) {
+            IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry)));
+            Cluster.sleep(FAULT_WINDOW_MS / workItems.size());
         }
-        faults.forEach(CompletableFuture::join);
-        works.forEach(work -> IntStream.range(0, 3).forEach(entry -> copies.add(trial.send(work, entry))));
-        trial.await(copies);
+        injections.forEach(CompletableFuture::join);
+        workItems.forEach(work -> IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry))));
+        trial.await(responses);
         workload.stop();
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/StandinGroupMain.java
+++ b/tools/src/main/java/org/verbenatally/faults/StandinGroupMain.java
@@ -12,9 +12,9 @@
 import org.verbenatally.standin.ServiceStandin;
 
 /**
- * Runs several stand-ins in one process, to save memory. Each argument is {@code TYPE,NAME=VALUE,...} with the type
- * {@code engine}, {@code service} or {@code platform} and option names of the stand-in. Prints {@code listening ID
- * PORT} for each and then {@code ready}.
+ * Runs several stand-ins in one process to save memory. Each argument is {@code TYPE,NAME=VALUE,...}, where the type is
+ * {@code engine}, {@code service} or {@code platform} and the names are options of the stand-in. Prints
+ * {@code listening ID PORT} for each stand-in and then {@code ready}.
  */
 public final class StandinGroupMain {
     private static final int CRASH_STATUS = 137;
@@ -36,13 +36,13 @@
         System.out.println("ready");
     }
 
-    private static int start(String type, String id, Map<String, String> values, boolean alone) {
+    private static int start(String type, String id, Map<String, String> values, boolean onlyStandin) {
         return switch (type) {
             case "engine" -> {
                 EngineOptions options = OptionRecords.with(EngineOptions.defaults(id), values);
-                // An engine that shares its process drops its listener and connections on a crash instead.
+                // When an engine that shares its process crashes, it closes its listener and connections instead.
                 Runnable halt = () -> Runtime.getRuntime().halt(CRASH_STATUS);
-                yield new EngineStandin(options, alone ? halt : null).start();
+                yield new EngineStandin(options, onlyStandin ? halt : null).start();
             }
             case "service" -> new ServiceStandin(OptionRecords.with(ServiceOptions.defaults(id), values)).start();
             case "platform" -> new PlatformStandin(OptionRecords.with(PlatformOptions.defaults(), values)).start();
--- a/tools/src/main/java/org/verbenatally/faults/Targets.java
+++ b/tools/src/main/java/org/verbenatally/faults/Standins.java
@@ -19,9 +19,9 @@
 import org.verbenatally.history.HistoryRecord.Run;
 
 /** The stand-in processes of a cluster: platform, engines and plain services. */
-final class Targets implements AutoCloseable {
+final class Standins implements AutoCloseable {
     static final String PLATFORM = "platform";
-    private static final String GROUP = "standins";
+    private static final String SHARED_PROCESS = "standins";
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final Path folder;
@@ -29,20 +29,20 @@
     private final Map<String, ChildProcess> processes = new ConcurrentHashMap<>();
     private final Map<String, Address> addresses = new ConcurrentHashMap<>();
 
-    /** Starts the platform and the targets of a document. */
-    Targets(Path folder, ClusterOptions options, JsonNode document) {
+    /** Starts the platform and all targets of a deployment document. */
+    Standins(Path folder, ClusterOptions options, JsonNode document) {
         this.folder = folder;
         List<String> shared = new ArrayList<>();
         shared.add("platform,id=platform,instanceLagMs=500");
         for (JsonNode target : document.path("targets")) {
             String id = target.path("id").asText();
             arguments.put(id, argument(target, options));
-            if (!options.apart().contains(id)) {
+            if (!options.separateTargets().contains(id)) {
                 shared.add(arguments.get(id));
             }
         }
-        start(GROUP, shared);
-        options.apart().forEach(id -> start(id, List.of(arguments.get(id) + ",port=" + Ports.pick())));
+        start(SHARED_PROCESS, shared);
+        options.separateTargets().forEach(id -> start(id, List.of(arguments.get(id) + ",port=" + Ports.findFree())));
     }
 
     private String argument(JsonNode target, ClusterOptions options) {
@@ -57,7 +57,7 @@
                 .append(historyFile(id));
         if (type.equals("engine")) {
             argument.append(",checksFence=").append(target.path("checksFence").asBoolean());
-            options.engine()
+            options.engineOptions()
                     .forEach((name, value) ->
                             argument.append(',').append(name).append('=').append(value));
         }
@@ -79,27 +79,31 @@
         }
     }
 
-    /** Returns where a stand-in listens, without any relay. */
+    /** Returns the address at which a stand-in itself listens, not that of a relay. */
     Address address(String id) {
         return addresses.get(id);
     }
 
-    /** Returns the process of a target that runs apart. */
+    /**
+     * Returns the process of a target that runs in a separate process.
+     *
+     * @throws IllegalArgumentException if the target shares a process with other stand-ins
+     */
     ChildProcess process(String id) {
         ChildProcess process = processes.get(id);
         if (process == null) {
-            throw new IllegalArgumentException(id + " has no process of its own");
+            throw new IllegalArgumentException(id + " does not run in a separate process");
         }
         return process;
     }
 
-    /** Starts a killed target again on the same port. */
+    /** Restarts a killed target on the same port. */
     void restart(String id) {
         start(id, List.of(arguments.get(id) + ",port=" + addresses.get(id).port()));
     }
 
     /** Returns the names of the processes by process id. */
-    Map<Long, String> names() {
+    Map<Long, String> processNames() {
         Map<Long, String> names = new HashMap<>();
         processes.forEach((name, process) -> names.put(process.pid(), name));
         return names;
@@ -107,49 +111,50 @@
 
     /** Sends a request to an admin route of a stand-in. */
     String admin(String id, String method, String path, Map<String, String> headers, String body) {
-        return Admin.request(addresses.get(id), method, path, headers, body);
+        return AdminClient.request(addresses.get(id), method, path, headers, body);
     }
 
     /** Changes options of a target at run time. */
-    void change(String id, String json) {
+    void changeOptions(String id, String json) {
         admin(id, "PATCH", "/admin/options", Map.of(), json);
     }
 
-    /** Adds what all targets ran to a history. The files also hold the runs of killed processes. */
-    void collect(History history) {
+    /** Adds the runs of all targets to a history. The files also contain the runs of killed processes. */
+    void addRuns(History history) {
         arguments.keySet().forEach(id -> {
             Map<String, JsonNode> starts = new HashMap<>();
             Map<String, JsonNode> ends = new HashMap<>();
             events(id).forEach(event -> {
-                String run = event.path("generation").asText(event.path("call").asText());
+                String runId =
+                        event.path("generation").asText(event.path("call").asText());
                 switch (event.path("event").asText()) {
                     case "start" -> {
-                        if (starts.putIfAbsent(run, event) != null) {
+                        if (starts.putIfAbsent(runId, event) != null) {
                             // A second start under the same id is a second run.
-                            history.add(run(id, run, event, null));
+                            history.add(createRun(id, runId, event, null));
                         }
                     }
-                    case "end" -> ends.put(run, event);
+                    case "end" -> ends.put(runId, event);
                     default -> {
-                        // Other events do not say what ran.
+                        // Other events do not describe a run.
                     }
                 }
             });
-            starts.forEach((run, start) -> history.add(run(id, run, start, ends.get(run))));
+            starts.forEach((runId, start) -> history.add(createRun(id, runId, start, ends.get(runId))));
         });
     }
 
-    private static Run run(String target, String run, JsonNode start, JsonNode end) {
-        boolean engine = start.has("generation");
+    private static Run createRun(String target, String runId, JsonNode start, JsonNode end) {
+        boolean onEngine = start.has("generation");
         boolean finished = end != null && "done".equals(end.path("ended").asText());
         long tokens =
                 end != null ? end.path("tokens").asLong() : start.path("target").asLong();
-        String text = engine ? Answers.generated(run, tokens) : Answers.service(start);
+        String text = onEngine ? ResponseText.ofGeneration(runId, tokens) : ResponseText.ofServiceRun(start);
         return new Run(
-                start.path("ms").asLong(), target, run, start.path("work").asText(), finished, tokens, text);
+                start.path("ms").asLong(), target, runId, start.path("work").asText(), finished, tokens, text);
     }
 
-    /** Returns the events that a target has written to its history so far. */
+    /** Returns the events that a target has written to its history file so far. */
     List<JsonNode> events(String id) {
         Path file = historyFile(id);
         if (!Files.exists(file)) {
--- a/tools/src/main/java/org/verbenatally/faults/StopCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/StopCases.java
@@ -10,142 +10,157 @@
 import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.Leaving;
 
-/** Cases in which an entry stops as planned or a target leaves. */
+/** Cases with a planned stop of an entry, and cases in which a target is leaving. */
 final class StopCases {
-    private static final Duration EXIT_LIMIT = Duration.ofSeconds(45);
+    private static final Duration EXIT_TIMEOUT = Duration.ofSeconds(45);
     private static final String ENGINE = "engine-1";
-    /** Time for the first entry to learn of a departure: report lag, report period and a margin for a busy machine. */
-    private static final long LEARN_MS = 2_000;
+    /**
+     * Longest time until the first entry is notified that a target is leaving: report lag, report period and a margin
+     * for a busy machine.
+     */
+    private static final long LEAVING_REPORT_DELAY_MS = 2_000;
 
-    /** Time for an entry to learn of it from the platform: lag 0.5 s, read every 2 s, margin for a busy machine. */
-    private static final long LIST_MS = 3_500;
+    /**
+     * Longest time until an entry reads from the platform that a target is leaving: a lag of 0.5 s, a read every 2 s
+     * and a margin for a busy machine.
+     */
+    private static final long LEAVING_LISTING_DELAY_MS = 3_500;
 
-    private static final long BOUND_MS = 2_000;
+    /** A leaving target receives no new requests once this time has passed since the first entry was notified. */
+    private static final long NO_NEW_WORK_BOUND_MS = 2_000;
 
     private StopCases() {}
 
-    static List<FaultCase> all() {
+    static List<FaultCase> cases() {
         return List.of(
-                FaultCase.abay("planned-stop-mid-stream", trial -> stop(trial, 1)),
-                FaultCase.aarhus("planned-stop-mid-draft", trial -> stop(trial, 1)),
+                FaultCase.abay("planned-stop-mid-stream", trial -> plannedStop(trial, 1)),
+                FaultCase.aarhus("planned-stop-mid-draft", trial -> plannedStop(trial, 1)),
                 new FaultCase(
-                        "planned-stop-of-three", seed -> ClusterOptions.of("abay", 5, seed), trial -> stop(trial, 3)),
+                        "planned-stop-of-three",
+                        seed -> ClusterOptions.of("abay", 5, seed),
+                        trial -> plannedStop(trial, 3)),
                 new FaultCase(
                         "planned-stop-at-drain-bound",
                         seed -> ClusterOptions.of("abay", 3, seed).withDrainSeconds(5),
-                        StopCases::drainBound),
+                        StopCases::stopAtDrainBound),
                 FaultCase.abay("late-callers-at-stopping-entry", StopCases::lateCallers),
-                FaultCase.abay("rolling-replacement", StopCases::rolling),
-                FaultCase.abay("target-refuses-as-leaving", StopCases::targetRefuses),
-                FaultCase.abay("target-listed-as-leaving", StopCases::targetListed),
+                FaultCase.abay("rolling-replacement", StopCases::rollingReplacement),
+                FaultCase.abay("target-refuses-as-leaving", StopCases::targetRefusesAsLeaving),
+                FaultCase.abay("target-listed-as-leaving", StopCases::targetListedAsLeaving),
                 FaultCase.abay("service-leaving", StopCases::serviceLeaving));
     }
 
-    private static void stop(Trial trial, int count) {
+    private static void plannedStop(Trial trial, int count) {
         Workload workload = trial.workload().start(15);
-        List<CompletableFuture<Answer>> guides = new ArrayList<>();
-        List<Work> bookings = new ArrayList<>();
+        List<CompletableFuture<Answer>> streamResponses = new ArrayList<>();
+        List<WorkItem> workItems = new ArrayList<>();
         for (int entry = 0; entry < count; entry++) {
-            guides.addAll(trial.sendGuides(4, 400, entry));
-            bookings.add(trial.booking(entry));
-            bookings.add(trial.booking(entry));
+            streamResponses.addAll(trial.sendStreams(4, 400, entry));
+            workItems.add(trial.keyedWork(entry));
+            workItems.add(trial.keyedWork(entry));
         }
         int survivor = trial.cluster().size() - 1;
-        for (int i = 0; i < bookings.size(); i += 2) {
-            trial.expectOutcome(trial.await(trial.send(bookings.get(i), survivor)), Outcome.DONE, "booking before");
+        for (int i = 0; i < workItems.size(); i += 2) {
+            trial.expectOutcome(
+                    trial.await(trial.send(workItems.get(i), survivor)),
+                    Outcome.DONE,
+                    "non-repeatable call before the stop");
         }
-        trial.awaitTokensOfAll(1);
+        trial.awaitTokensOfEachStream(1);
         IntStream.range(0, count).forEach(trial.cluster()::stopEntry);
-        trial.expectAllDone(guides, "guides at the stopping entries");
+        trial.expectAllDone(streamResponses, "streams at the stopping entries");
         for (int entry = 0; entry < count; entry++) {
             ChildProcess process = trial.cluster().entry(entry).process();
-            boolean ended = process.awaitExit(EXIT_LIMIT);
+            boolean ended = process.awaitExit(EXIT_TIMEOUT);
             trial.expect(ended, process.name() + " did not end");
-            trial.expect(!ended || process.exitStatus() == 0, process.name() + " ended with another status than 0");
+            trial.expect(!ended || process.exitStatus() == 0, process.name() + " ended with a status other than 0");
         }
-        for (Work booking : bookings) {
-            trial.expectOutcome(trial.await(trial.send(booking, survivor)), Outcome.DONE, "booking after the stop");
+        for (WorkItem work : workItems) {
+            trial.expectOutcome(
+                    trial.await(trial.send(work, survivor)), Outcome.DONE, "non-repeatable call after the stop");
         }
         workload.stop();
-        trial.expectNothingUnknown();
+        trial.expectAllOutcomesKnown();
     }
 
-    private static void drainBound(Trial trial) {
-        var guides = trial.sendGuides(4, 900, 0);
-        trial.awaitTokensOfAll(1);
+    private static void stopAtDrainBound(Trial trial) {
+        var streamResponses = trial.sendStreams(4, 900, 0);
+        trial.awaitTokensOfEachStream(1);
         trial.cluster().stopEntry(0);
-        trial.expect(trial.cluster().entry(0).process().awaitExit(EXIT_LIMIT), "the entry did not end");
-        trial.expectAllDone(guides, "guides that outlast the bound");
+        trial.expect(trial.cluster().entry(0).process().awaitExit(EXIT_TIMEOUT), "the entry did not end");
+        trial.expectAllDone(streamResponses, "streams that outlast the drain bound");
     }
 
-    /** Callers that the load balancer sends to a stopping entry up to its end get a refusal, not a lost connection. */
+    /** Callers that the load balancer sends to a stopping entry until it exits are rejected but lose no connection. */
     private static void lateCallers(Trial trial) {
-        var guides = trial.sendGuides(2, 300, 0);
-        trial.awaitTokensOfAll(1);
+        var streamResponses = trial.sendStreams(2, 300, 0);
+        trial.awaitTokensOfEachStream(1);
         trial.cluster().stopEntry(0);
         List<CompletableFuture<Answer>> late = new ArrayList<>();
-        long end = System.nanoTime() + EXIT_LIMIT.toNanos();
-        while (trial.cluster().entry(0).process().isAlive() && System.nanoTime() - end < 0) {
-            late.add(trial.send(trial.guide(10), 0));
+        long deadlineNanos = System.nanoTime() + EXIT_TIMEOUT.toNanos();
+        while (trial.cluster().entry(0).process().isAlive() && System.nanoTime() - deadlineNanos < 0) {
+            late.add(trial.send(trial.streamedWork(10), 0));
             Cluster.sleep(10);
         }
         trial.expect(!trial.cluster().entry(0).process().isAlive(), "the entry did not end while callers kept sending");
-        trial.expectAllDone(guides, "guides at the stopping entry");
+        trial.expectAllDone(streamResponses, "streams at the stopping entry");
         long lost = trial.await(late).stream()
-                .filter(answer -> answer.outcome() == null)
+                .filter(response -> response.outcome() == null)
                 .count();
-        trial.figure("late-callers", late.size());
+        trial.recordFigure("late-callers", late.size());
         trial.expect(lost == 0, lost + " late callers lost their connection");
     }
 
-    private static void rolling(Trial trial) {
+    private static void rollingReplacement(Trial trial) {
         Workload workload = trial.workload().start(10);
-        List<Work> bookings = new ArrayList<>();
+        List<WorkItem> workItems = new ArrayList<>();
         for (int entry = 0; entry < trial.cluster().size(); entry++) {
             int owner = entry;
-            IntStream.range(0, 3).forEach(i -> bookings.add(trial.booking(owner)));
-            var guides = trial.sendGuides(2, 200, entry);
-            trial.await(bookings.stream().map(work -> trial.send(work, owner)).toList());
+            IntStream.range(0, 3).forEach(i -> workItems.add(trial.keyedWork(owner)));
+            var streamResponses = trial.sendStreams(2, 200, entry);
+            trial.await(workItems.stream().map(work -> trial.send(work, owner)).toList());
             trial.cluster().stopEntry(entry);
-            trial.expect(trial.cluster().entry(entry).process().awaitExit(EXIT_LIMIT), "an entry did not end");
+            trial.expect(trial.cluster().entry(entry).process().awaitExit(EXIT_TIMEOUT), "an entry did not end");
             trial.cluster().restartEntry(entry);
-            trial.expectAllDone(guides, "guides at the replaced entry");
+            trial.expectAllDone(streamResponses, "streams at the replaced entry");
         }
         workload.stop();
-        for (Work booking : bookings) {
-            trial.expectOutcome(trial.await(trial.send(booking, 1)), Outcome.DONE, "booking after the replacement");
+        for (WorkItem work : workItems) {
+            trial.expectOutcome(
+                    trial.await(trial.send(work, 1)), Outcome.DONE, "non-repeatable call after the replacement");
         }
-        trial.expectNothingUnknown();
+        trial.expectAllOutcomesKnown();
     }
 
-    private static void targetRefuses(Trial trial) {
+    private static void targetRefusesAsLeaving(Trial trial) {
         Workload workload = trial.workload().start(40);
-        trial.await("work on " + ENGINE, () -> !trial.startedOn(ENGINE).isEmpty());
-        long announced = System.currentTimeMillis();
+        trial.await("work on " + ENGINE, () -> !trial.workStartedOn(ENGINE).isEmpty());
+        long announcedAtMs = System.currentTimeMillis();
         trial.cluster().announceLeaving(ENGINE);
         Cluster.sleep(8_000);
         workload.stop();
         long late = trial.events(ENGINE, "refused").stream()
-                .filter(event -> event.path("ms").asLong() > announced + LEARN_MS + BOUND_MS)
+                .filter(event ->
+                        event.path("ms").asLong() > announcedAtMs + LEAVING_REPORT_DELAY_MS + NO_NEW_WORK_BOUND_MS)
                 .count();
-        trial.figure("refused", trial.events(ENGINE, "refused").size());
+        trial.recordFigure("refused", trial.events(ENGINE, "refused").size());
         trial.expect(late == 0, late + " requests were sent after the bound");
     }
 
-    /** The target itself knows nothing of its departure and would run whatever it gets. */
-    private static void targetListed(Trial trial) {
+    /** The target itself is not notified that it is leaving, so it would run all work that it receives. */
+    private static void targetListedAsLeaving(Trial trial) {
         Workload workload = trial.workload().start(40);
-        trial.await("work on " + ENGINE, () -> !trial.startedOn(ENGINE).isEmpty());
-        trial.cluster().listTarget(ENGINE, "leaving");
-        long announced = System.currentTimeMillis();
+        trial.await("work on " + ENGINE, () -> !trial.workStartedOn(ENGINE).isEmpty());
+        trial.cluster().registerTarget(ENGINE, "leaving");
+        long announcedAtMs = System.currentTimeMillis();
         Cluster.sleep(9_000);
         workload.stop();
-        long last = trial.events(ENGINE, "start").stream()
+        long lastStartMs = trial.events(ENGINE, "start").stream()
                 .mapToLong(event -> event.path("ms").asLong())
                 .max()
                 .orElse(0);
-        trial.figure("last-start-after-ms", last - announced);
-        trial.cluster().history().add(new Leaving(announced + LIST_MS, ENGINE));
+        trial.recordFigure("last-start-after-ms", lastStartMs - announcedAtMs);
+        trial.cluster().history().add(new Leaving(announcedAtMs + LEAVING_LISTING_DELAY_MS, ENGINE));
     }
 
     private static void serviceLeaving(Trial trial) {
@@ -156,11 +171,11 @@
                 .findFirst()
                 .orElseThrow();
         trial.cluster().announceLeaving(service);
-        List<CompletableFuture<Answer>> answers = new ArrayList<>();
+        List<CompletableFuture<Answer>> responses = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
-            answers.add(trial.send(i % 2 == 0 ? trial.quote() : trial.booking(i % 3), (i / 2) % 3));
+            responses.add(trial.send(i % 2 == 0 ? trial.idempotentWork() : trial.keyedWork(i % 3), (i / 2) % 3));
             Cluster.sleep(50);
         }
-        trial.expectAllDone(answers, "calls while a service leaves");
+        trial.expectAllDone(responses, "calls while a service is leaving");
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/StreamCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/StreamCases.java
@@ -17,63 +17,71 @@
 
     private StreamCases() {}
 
-    static List<FaultCase> all() {
+    static List<FaultCase> cases() {
         return List.of(
                 FaultCase.abay("entry-killed-mid-stream", StreamCases::entryKilled),
                 FaultCase.aarhus("entry-killed-mid-draft", StreamCases::entryKilled),
-                FaultCase.abayApart("engine-killed-before-first-token", StreamCases::beforeFirstToken, ENGINE),
-                FaultCase.abayApart("engine-killed-mid-stream", StreamCases::midStream, ENGINE),
-                FaultCase.abayApart("engine-killed-at-last-token", StreamCases::atLastToken, ENGINE),
-                FaultCase.abayApart("engine-reclaimed", StreamCases::reclaimed, ENGINE),
+                FaultCase.abayWithSeparateTargets(
+                        "engine-killed-before-first-token", StreamCases::engineKilledBeforeFirstToken, ENGINE),
+                FaultCase.abayWithSeparateTargets(
+                        "engine-killed-mid-stream", StreamCases::engineKilledMidStream, ENGINE),
+                FaultCase.abayWithSeparateTargets(
+                        "engine-killed-at-last-token", StreamCases::engineKilledAtLastToken, ENGINE),
+                FaultCase.abayWithSeparateTargets("engine-reclaimed", StreamCases::engineReclaimed, ENGINE),
                 FaultCase.abay("slow-reader", StreamCases::slowReader),
                 new FaultCase(
                         "engine-killed-during-summaries",
-                        seed -> ClusterOptions.of("aarhus", 3, seed).withApart("draft-1"),
-                        StreamCases::summaries),
-                FaultCase.abay("poison-request", trial -> poison(trial, 0)),
-                FaultCase.abay("poison-request-among-others", trial -> poison(trial, 16)));
+                        seed -> ClusterOptions.of("aarhus", 3, seed).withSeparateTargets("draft-1"),
+                        StreamCases::engineKilledDuringSummaries),
+                FaultCase.abay("poison-request", trial -> poisonRequest(trial, 0)),
+                FaultCase.abay("poison-request-among-others", trial -> poisonRequest(trial, 16)));
     }
 
     private static void entryKilled(Trial trial) {
-        var answers = trial.sendGuides(8, 200, 0);
-        trial.awaitTokensOfAll(20);
+        var responses = trial.sendStreams(8, 200, 0);
+        trial.awaitTokensOfEachStream(20);
         trial.cluster().killEntry(0);
-        trial.expectAllDone(answers, "guides resumed elsewhere");
+        trial.expectAllDone(responses, "streams resumed at another entry");
     }
 
-    /** Sends guides to all entries until one runs on the engine that the case kills. */
-    private static List<CompletableFuture<Answer>> fill(Trial trial, int tokens) {
-        return trial.sendUntilStarted(ENGINE, () -> trial.guide(tokens));
+    /** Sends streams to all entries until one has started on the engine that the case kills. */
+    private static List<CompletableFuture<Answer>> sendUntilStartedOnEngine(Trial trial, int tokens) {
+        return trial.sendUntilStarted(ENGINE, () -> trial.streamedWork(tokens));
     }
 
-    private static void beforeFirstToken(Trial trial) {
-        trial.cluster().targets().change(ENGINE, "{\"stepBaseMs\":5000}");
-        var answers = fill(trial, 40);
-        trial.figure("hit", trial.startedOn(ENGINE).size());
+    private static void engineKilledBeforeFirstToken(Trial trial) {
+        trial.cluster().standins().changeOptions(ENGINE, "{\"stepBaseMs\":5000}");
+        var responses = sendUntilStartedOnEngine(trial, 40);
+        trial.recordFigure("hit", trial.workStartedOn(ENGINE).size());
         trial.cluster().killTarget(ENGINE);
-        trial.expectAllDone(answers, "guides without a token");
+        trial.expectAllDone(responses, "streams before their first token");
     }
 
-    private static void midStream(Trial trial) {
-        var answers = fill(trial, 200);
-        trial.awaitTokensOfAll(20);
-        Set<String> hit = trial.startedOn(ENGINE);
+    private static void engineKilledMidStream(Trial trial) {
+        var responses = sendUntilStartedOnEngine(trial, 200);
+        trial.awaitTokensOfEachStream(20);
+        Set<String> affected = trial.workStartedOn(ENGINE);
         trial.cluster().killTarget(ENGINE);
-        List<Answer> ends = trial.await(answers);
-        long lost = ends.stream()
-                .filter(end -> end.outcome() == Outcome.UNKNOWN && "generation-lost".equals(end.type()))
+        List<Answer> completed = trial.await(responses);
+        long lost = completed.stream()
+                .filter(response -> response.outcome() == Outcome.UNKNOWN && "generation-lost".equals(response.type()))
                 .count();
-        long done = ends.stream().filter(end -> end.outcome() == Outcome.DONE).count();
-        trial.figure("hit", hit.size());
-        trial.figure("generation-lost", lost);
-        trial.expect(lost == hit.size(), lost + " streams ended with generation-lost, " + hit.size() + " were hit");
-        trial.expect(done == ends.size() - hit.size(), done + " of " + ends.size() + " streams were done");
+        long done = completed.stream()
+                .filter(response -> response.outcome() == Outcome.DONE)
+                .count();
+        trial.recordFigure("hit", affected.size());
+        trial.recordFigure("generation-lost", lost);
+        trial.expect(
+                lost == affected.size(),
+                lost + " streams ended with generation-lost, " + affected.size() + " were affected");
+        trial.expect(
+                done == completed.size() - affected.size(), done + " of " + completed.size() + " streams were done");
     }
 
-    private static void atLastToken(Trial trial) {
+    private static void engineKilledAtLastToken(Trial trial) {
         int tokens = 60;
-        var answers = fill(trial, tokens);
-        trial.await("a last token", () -> {
+        var responses = sendUntilStartedOnEngine(trial, tokens);
+        trial.await("one of the last two tokens of a stream", () -> {
             Set<String> last = trial.cluster().history().all(TokenSeen.class).stream()
                     .filter(token -> token.offset() >= tokens - 2)
                     .map(TokenSeen::generation)
@@ -82,63 +90,67 @@
                     .anyMatch(start -> last.contains(start.path("generation").asText()));
         });
         trial.cluster().killTarget(ENGINE);
-        List<Answer> ends = trial.await(answers);
-        trial.expect(ends.stream().allMatch(end -> end.outcome() != null), "a stream ended without an outcome");
+        List<Answer> completed = trial.await(responses);
+        trial.expect(
+                completed.stream().allMatch(response -> response.outcome() != null),
+                "a stream ended without an outcome");
     }
 
-    private static void reclaimed(Trial trial) {
-        var answers = fill(trial, 60);
+    private static void engineReclaimed(Trial trial) {
+        var responses = sendUntilStartedOnEngine(trial, 60);
         trial.cluster().announceLeaving(ENGINE);
         Workload workload = trial.workload().start(15);
         Cluster.sleep(3_000);
         trial.cluster().killTarget(ENGINE);
         Cluster.sleep(2_000);
         workload.stop();
-        trial.expectAllDone(answers, "guides that finish within the notice");
+        trial.expectAllDone(responses, "streams that end within the notice period");
     }
 
     private static void slowReader(Trial trial) {
-        Caller slow = new Caller(trial.cluster(), 60_000).readingSlowly(30);
-        Work work = trial.guide(300);
-        CompletableFuture<Answer> slowEnd = CompletableFuture.supplyAsync(() -> slow.send(work, 0));
-        var others = trial.sendGuides(6, 100, 0);
-        trial.expectAllDone(others, "guides of other readers");
-        trial.expectAllDone(List.of(slowEnd), "guide of the slow reader");
+        Caller slow = new Caller(trial.cluster(), 60_000).withReadDelay(30);
+        WorkItem work = trial.streamedWork(300);
+        CompletableFuture<Answer> slowResponse = CompletableFuture.supplyAsync(() -> slow.send(work, 0));
+        var others = trial.sendStreams(6, 100, 0);
+        trial.expectAllDone(others, "streams of other readers");
+        trial.expectAllDone(List.of(slowResponse), "stream of the slow reader");
     }
 
-    private static void summaries(Trial trial) {
-        var answers = trial.sendUntilStarted("draft-1", () -> trial.summary(200));
+    private static void engineKilledDuringSummaries(Trial trial) {
+        var responses = trial.sendUntilStarted("draft-1", () -> trial.bufferedWork(200));
         Cluster.sleep(500);
-        trial.figure("hit", trial.startedOn("draft-1").size());
+        trial.recordFigure("hit", trial.workStartedOn("draft-1").size());
         trial.cluster().killTarget("draft-1");
-        trial.expectAllDone(answers, "summaries, of which no token was delivered");
+        trial.expectAllDone(responses, "summaries, of which no token was delivered");
     }
 
-    private static void poison(Trial trial, int others) {
-        List<CompletableFuture<Answer>> innocent = new ArrayList<>();
-        IntStream.range(0, others).forEach(i -> innocent.add(trial.send(trial.guide(300), i % 3)));
-        trial.awaitTokensOfAll(1);
-        Work poison = trial.guide(50, "[crash=3]");
-        int refused = 0;
-        for (int i = 0; i < 12 && refused < trial.cluster().size(); i++) {
-            Answer answer = trial.await(trial.send(poison, i % 3));
-            refused = "crashes-targets".equals(answer.type()) ? refused + 1 : 0;
-            trial.cluster().fault("crash-request", "engines");
+    private static void poisonRequest(Trial trial, int otherCount) {
+        List<CompletableFuture<Answer>> otherResponses = new ArrayList<>();
+        IntStream.range(0, otherCount).forEach(i -> otherResponses.add(trial.send(trial.streamedWork(300), i % 3)));
+        trial.awaitTokensOfEachStream(1);
+        WorkItem poison = trial.streamedWork(50, "[crash=3]");
+        int rejections = 0;
+        for (int i = 0; i < 12 && rejections < trial.cluster().size(); i++) {
+            Answer response = trial.await(trial.send(poison, i % 3));
+            rejections = "crashes-targets".equals(response.type()) ? rejections + 1 : 0;
+            trial.cluster().recordFault("crash-request", "engines");
             Cluster.sleep(500);
         }
         long crashes = trial.cluster().deployment().targets().keySet().stream()
                 .mapToLong(id -> trial.events(id.toString(), "crash").size())
                 .sum();
-        trial.figure("crashes", crashes);
+        trial.recordFigure("crashes", crashes);
         trial.expect(crashes <= 3, crashes + " engines crashed");
-        trial.expect(refused == trial.cluster().size(), "the request was not refused by every entry");
-        trial.expectAllDone(trial.sendGuides(6, 40, 1), "guides after the crashes");
-        List<Answer> ends = trial.await(innocent);
-        trial.figure(
+        trial.expect(rejections == trial.cluster().size(), "the request was not rejected by every entry");
+        trial.expectAllDone(trial.sendStreams(6, 40, 1), "streams after the crashes");
+        List<Answer> completed = trial.await(otherResponses);
+        trial.recordFigure(
                 "others-done",
-                ends.stream().filter(end -> end.outcome() == Outcome.DONE).count() + "/" + ends.size());
+                completed.stream()
+                                .filter(response -> response.outcome() == Outcome.DONE)
+                                .count() + "/" + completed.size());
         trial.expect(
-                ends.stream().noneMatch(end -> "crashes-targets".equals(end.type())),
-                "an innocent request was refused as crashing");
+                completed.stream().noneMatch(response -> "crashes-targets".equals(response.type())),
+                "another request was rejected because of the crashes");
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/Trial.java
+++ b/tools/src/main/java/org/verbenatally/faults/Trial.java
@@ -24,29 +24,29 @@
 import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.TokenSeen;
 
-/** One run of a fault case: its cluster, its callers, and what the case expects beyond the invariants. */
+/** One run of a fault case: its cluster, its callers, and the expectations of the case beyond the invariants. */
 final class Trial {
-    /** Longest wait for a condition; generous, because the machine may be busy. */
-    static final Duration LIMIT = Duration.ofSeconds(45);
+    /** Longest wait for a condition. It is long because the machine may be busy. */
+    static final Duration CONDITION_TIMEOUT = Duration.ofSeconds(45);
 
-    private static final int FIRST_PIECES = 24;
-    private static final long MORE_NANOS = 200_000_000;
-    private static final int PATIENCE_MS = 30_000;
-    private static final Executor CALLERS = task -> Thread.ofVirtual().start(task);
+    private static final int INITIAL_REQUESTS = 24;
+    private static final long SEND_INTERVAL_NANOS = 200_000_000;
+    private static final int CALLER_TIMEOUT_MS = 30_000;
+    private static final Executor CALLER_EXECUTOR = task -> Thread.ofVirtual().start(task);
 
     private final Cluster cluster;
     private final Caller caller;
     private final UniformRandomProvider random;
     private final Map<String, Object> figures = new LinkedHashMap<>();
     private final List<String> failures = new ArrayList<>();
-    private final AtomicInteger works = new AtomicInteger();
-    private final AtomicInteger streams = new AtomicInteger();
+    private final AtomicInteger workCount = new AtomicInteger();
+    private final AtomicInteger streamCount = new AtomicInteger();
     private final long seed;
 
     Trial(Cluster cluster, long seed) {
         this.cluster = cluster;
         this.seed = seed;
-        caller = new Caller(cluster, PATIENCE_MS);
+        caller = new Caller(cluster, CALLER_TIMEOUT_MS);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
@@ -62,20 +62,20 @@
         return random;
     }
 
-    /** Returns a workload that has yet to be started. */
+    /** Returns a new workload, which is not started yet. */
     Workload workload() {
-        return new Workload(cluster, seed, PATIENCE_MS);
+        return new Workload(cluster, seed, CALLER_TIMEOUT_MS);
     }
 
-    /** Records an expectation of the case; an unmet one makes the case broken. */
-    synchronized void expect(boolean met, String what) {
+    /** Records the description as a failure, which makes the case broken, if the expectation is not met. */
+    synchronized void expect(boolean met, String description) {
         if (!met) {
-            failures.add(what);
+            failures.add(description);
         }
     }
 
-    /** Adds a figure to the line of the case. */
-    synchronized void figure(String name, Object value) {
+    /** Adds a figure to the line that is printed for the case. */
+    synchronized void recordFigure(String name, Object value) {
         figures.put(name, value);
     }
 
@@ -87,119 +87,125 @@
         return figures;
     }
 
-    private Work work(String kind, int tokens, String marker) {
-        Kind found = cluster.deployment().kinds().get(new KindName(kind));
+    private WorkItem newWork(String kindName, int tokens, String marker) {
+        Kind kind = cluster.deployment().kinds().get(new KindName(kindName));
         String organisation = cluster.deployment().organisations().keySet().stream()
                 .map(Object::toString)
                 .sorted()
                 .toList()
-                .get(works.get() % cluster.deployment().organisations().size());
-        return new Work(
-                kind + "-" + works.incrementAndGet() + "-" + Long.toHexString(random.nextLong()),
-                found,
+                .get(workCount.get() % cluster.deployment().organisations().size());
+        return new WorkItem(
+                kindName + "-" + workCount.incrementAndGet() + "-" + Long.toHexString(random.nextLong()),
+                kind,
                 organisation,
                 null,
                 tokens,
                 marker);
     }
 
-    /** Returns new streamed work; a token takes some 17 ms. */
-    Work guide(int tokens) {
-        return guide(tokens, "");
+    /** Returns a new work item with a streamed response. A token takes about 17 ms. */
+    WorkItem streamedWork(int tokens) {
+        return streamedWork(tokens, "");
     }
 
-    Work guide(int tokens, String marker) {
-        return work(cluster.deployment().name().equals("abay") ? "guide" : "speech-draft", tokens, marker);
+    WorkItem streamedWork(int tokens, String marker) {
+        return newWork(cluster.deployment().name().equals("abay") ? "guide" : "speech-draft", tokens, marker);
     }
 
-    /** Returns new repeatable work whose answer is held back until it is whole; aarhus only. */
-    Work summary(int tokens) {
-        return work("briefing-summary", tokens, "");
+    /** Returns a new repeatable work item whose response is sent only when it is complete; aarhus only. */
+    WorkItem bufferedWork(int tokens) {
+        return newWork("briefing-summary", tokens, "");
     }
 
-    /** Returns new non-repeatable work with a key from an entry. */
-    Work booking(int keyFrom) {
-        String kind = cluster.deployment().name().equals("abay") ? "order-booking" : "approval-signoff";
-        return caller.withKey(work(kind, 0, ""), keyFrom);
+    /** Returns a new non-repeatable work item with an idempotency key that the given entry has issued. */
+    WorkItem keyedWork(int issuer) {
+        String kindName = cluster.deployment().name().equals("abay") ? "order-booking" : "approval-signoff";
+        return caller.withKey(newWork(kindName, 0, ""), issuer);
     }
 
-    /** Returns new idempotent work for a plain service; abay only. */
-    Work quote() {
-        return work("quote-check", 0, "");
+    /** Returns a new idempotent work item for a plain service; abay only. */
+    WorkItem idempotentWork() {
+        return newWork("quote-check", 0, "");
     }
 
-    /** Sends a copy to an entry without waiting for its answer. */
-    CompletableFuture<Answer> send(Work work, int entry) {
-        if (work.streamed()) {
-            streams.incrementAndGet();
+    /** Sends a request to an entry without waiting for the response. */
+    CompletableFuture<Answer> send(WorkItem work, int entry) {
+        if (work.isStreamed()) {
+            streamCount.incrementAndGet();
         }
-        return CompletableFuture.supplyAsync(() -> caller.send(work, entry), CALLERS);
+        return CompletableFuture.supplyAsync(() -> caller.send(work, entry), CALLER_EXECUTOR);
     }
 
-    /** Sends a number of guides to one entry. */
-    List<CompletableFuture<Answer>> sendGuides(int count, int tokens, int entry) {
+    /** Sends requests with streamed responses to one entry without waiting for the responses. */
+    List<CompletableFuture<Answer>> sendStreams(int count, int tokens, int entry) {
         return IntStream.range(0, count)
-                .mapToObj(i -> send(guide(tokens), entry))
+                .mapToObj(i -> send(streamedWork(tokens), entry))
                 .toList();
     }
 
-    Answer await(CompletableFuture<Answer> answer) {
+    Answer await(CompletableFuture<Answer> response) {
         try {
-            return answer.get(PATIENCE_MS * 2, TimeUnit.MILLISECONDS);
+            return response.get(CALLER_TIMEOUT_MS * 2, TimeUnit.MILLISECONDS);
         } catch (Exception e) {
-            throw new IllegalStateException("a caller did not end: " + e, e);
+            throw new IllegalStateException("the request of a caller did not end: " + e, e);
         }
     }
 
-    List<Answer> await(Collection<CompletableFuture<Answer>> answers) {
-        return answers.stream().map(this::await).toList();
+    List<Answer> await(Collection<CompletableFuture<Answer>> responses) {
+        return responses.stream().map(this::await).toList();
     }
 
-    /** Waits for all answers and expects each to be whole. */
-    void expectAllDone(Collection<CompletableFuture<Answer>> answers, String what) {
-        List<Answer> ends = await(answers);
-        long done = ends.stream().filter(end -> end.outcome() == Outcome.DONE).count();
+    /** Waits for all responses and expects each of them to be complete. */
+    void expectAllDone(Collection<CompletableFuture<Answer>> responses, String description) {
+        List<Answer> completed = await(responses);
+        long done = completed.stream()
+                .filter(response -> response.outcome() == Outcome.DONE)
+                .count();
         expect(
-                done == ends.size(),
-                "%s: %d of %d done, others %s"
+                done == completed.size(),
+                "%s: %d of %d done, others: %s"
                         .formatted(
-                                what,
+                                description,
                                 done,
-                                ends.size(),
-                                ends.stream()
-                                        .filter(end -> end.outcome() != Outcome.DONE)
-                                        .map(end -> end.request() + "=" + end.outcome() + "/" + end.status() + "/"
-                                                + end.type())
+                                completed.size(),
+                                completed.stream()
+                                        .filter(response -> response.outcome() != Outcome.DONE)
+                                        .map(response -> response.request() + "=" + response.outcome() + "/"
+                                                + response.status() + "/" + response.type())
                                         .toList()));
     }
 
-    /** Expects an answer to have an outcome. */
-    void expectOutcome(Answer answer, Outcome outcome, String what) {
+    /** Expects a response to have the given outcome. */
+    void expectOutcome(Answer response, Outcome outcome, String description) {
         expect(
-                answer.outcome() == outcome,
+                response.outcome() == outcome,
                 "%s: expected %s, was %s status %d %s"
-                        .formatted(what, outcome, answer.outcome(), answer.status(), answer.type()));
+                        .formatted(description, outcome, response.outcome(), response.status(), response.type()));
     }
 
-    /** Expects that every request of this trial ended, and with an outcome that is known. */
-    void expectNothingUnknown() {
-        List<Answer> unclear = cluster.history().all(Answer.class).stream()
-                .filter(answer -> answer.outcome() == null || answer.outcome() == Outcome.UNKNOWN)
+    /** Expects that every response in the history has a known outcome. */
+    void expectAllOutcomesKnown() {
+        List<Answer> unknown = cluster.history().all(Answer.class).stream()
+                .filter(response -> response.outcome() == null || response.outcome() == Outcome.UNKNOWN)
                 .toList();
         expect(
-                unclear.isEmpty(),
-                unclear.size() + " requests without a known outcome, first "
-                        + unclear.stream().findFirst());
+                unknown.isEmpty(),
+                unknown.size() + " requests without a known outcome, first: "
+                        + unknown.stream().findFirst());
     }
 
-    /** Waits for a condition. */
-    void await(String what, java.util.function.BooleanSupplier condition) {
-        Cluster.await(what, LIMIT, condition);
+    /**
+     * Waits for a condition.
+     *
+     * @throws IllegalStateException if the condition is not met within {@link #CONDITION_TIMEOUT}
+     */
+    void await(String description, java.util.function.BooleanSupplier condition) {
+        Cluster.await(description, CONDITION_TIMEOUT, condition);
     }
 
-    /** Waits until callers have received a number of tokens of every stream that this trial has sent so far. */
-    void awaitTokensOfAll(int tokens) {
-        int expected = streams.get();
+    /** Waits until callers have received at least this many tokens of every stream that this trial has requested. */
+    void awaitTokensOfEachStream(int tokens) {
+        int expected = streamCount.get();
         await(
                 tokens + " tokens of " + expected + " streams",
                 () -> cluster.history().all(TokenSeen.class).stream()
@@ -212,37 +218,37 @@
     }
 
     /**
-     * Sends work to all entries in turn, 24 pieces at first and one more every 200 ms until the target has started one:
-     * which target gets work is the entries' choice.
+     * Sends work items to all entries in turn: 24 at first, then one more every 200 ms until the target has started
+     * one. This can take several requests because the entries choose the target.
      */
-    List<CompletableFuture<Answer>> sendUntilStarted(String target, Supplier<Work> work) {
-        List<CompletableFuture<Answer>> answers = new ArrayList<>();
-        for (int i = 0; i < FIRST_PIECES; i++) {
-            answers.add(send(work.get(), i % 3));
+    List<CompletableFuture<Answer>> sendUntilStarted(String target, Supplier<WorkItem> supplier) {
+        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        for (int i = 0; i < INITIAL_REQUESTS; i++) {
+            responses.add(send(supplier.get(), i % 3));
         }
-        long[] next = {System.nanoTime() + MORE_NANOS};
+        long[] nextSendNanos = {System.nanoTime() + SEND_INTERVAL_NANOS};
         await("work on " + target, () -> {
-            if (!startedOn(target).isEmpty()) {
+            if (!workStartedOn(target).isEmpty()) {
                 return true;
             }
-            if (System.nanoTime() - next[0] > 0) {
-                next[0] = System.nanoTime() + MORE_NANOS;
-                answers.add(send(work.get(), answers.size() % 3));
+            if (System.nanoTime() - nextSendNanos[0] > 0) {
+                nextSendNanos[0] = System.nanoTime() + SEND_INTERVAL_NANOS;
+                responses.add(send(supplier.get(), responses.size() % 3));
             }
             return false;
         });
-        return answers;
+        return responses;
     }
 
-    /** Returns the ids of the work that a target has started. */
-    Set<String> startedOn(String target) {
+    /** Returns the ids of the work items that a target has started. */
+    Set<String> workStartedOn(String target) {
         return events(target, "start").stream()
                 .map(event -> event.path("work").asText())
                 .collect(Collectors.toSet());
     }
 
-    /** Returns how often any plain service or engine has started a piece of work. */
-    long runs(Work work) {
+    /** Returns how often the plain services and engines have started a work item, in total. */
+    long startCount(WorkItem work) {
         return cluster.deployment().targets().keySet().stream()
                 .flatMap(id -> events(id.toString(), "start").stream())
                 .filter(event -> work.id().equals(event.path("work").asText()))
@@ -251,22 +257,22 @@
 
     /** Returns the events of one type in a target's history. */
     List<JsonNode> events(String target, String type) {
-        return cluster.targets().events(target).stream()
+        return cluster.standins().events(target).stream()
                 .filter(event -> type.equals(event.path("event").asText()))
                 .toList();
     }
 
-    /** Changes an option of all plain services. */
-    void changeServices(String json) {
+    /** Changes options of all plain services. */
+    void changeServiceOptions(String json) {
         cluster.deployment().targets().values().stream()
                 .filter(target -> target.type() == org.verbenatally.config.TargetType.SERVICE)
-                .forEach(target -> cluster.targets().change(target.id().toString(), json));
+                .forEach(target -> cluster.standins().changeOptions(target.id().toString(), json));
     }
 
-    /** Changes an option of all engines. */
-    void changeEngines(String json) {
+    /** Changes options of all engines. */
+    void changeEngineOptions(String json) {
         cluster.deployment().targets().values().stream()
                 .filter(target -> target.type() == org.verbenatally.config.TargetType.ENGINE)
-                .forEach(target -> cluster.targets().change(target.id().toString(), json));
+                .forEach(target -> cluster.standins().changeOptions(target.id().toString(), json));
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/Work.java
+++ b/tools/src/main/java/org/verbenatally/faults/WorkItem.java
@@ -8,35 +8,35 @@
 import org.verbenatally.config.TargetType;
 
 /**
- * A piece of work that callers send, in one or more copies.
+ * A unit of work that callers send in one or more requests.
  *
- * @param id its id; the body carries it, so that targets record it
+ * @param id id of the work item; it is part of the request body so that targets can record it
  * @param kind kind of work
  * @param organisation organisation that sends it
  * @param key idempotency key, or {@code null}
- * @param tokens wanted length of the output; engine kinds only
- * @param marker further text for the prompt, for example {@code [crash=3]}
+ * @param tokens requested length of the output, in tokens; used for kinds that run on engines only
+ * @param marker additional text for the prompt, for example {@code [crash=3]}; may be empty
  */
-record Work(String id, Kind kind, String organisation, String key, int tokens, String marker) {
+record WorkItem(String id, Kind kind, String organisation, String key, int tokens, String marker) {
 
-    boolean onEngine() {
+    boolean runsOnEngine() {
         return kind.runsOn() == TargetType.ENGINE;
     }
 
-    boolean streamed() {
-        return onEngine() && kind.delivery() == Kind.Delivery.STREAM;
+    boolean isStreamed() {
+        return runsOnEngine() && kind.delivery() == Kind.Delivery.STREAM;
     }
 
-    Work withKey(String issued) {
-        return new Work(id, kind, organisation, issued, tokens, marker);
+    WorkItem withKey(String issuedKey) {
+        return new WorkItem(id, kind, organisation, issuedKey, tokens, marker);
     }
 
     byte[] body() {
         ObjectNode body = JsonNodeFactory.instance.objectNode();
-        if (onEngine()) {
+        if (runsOnEngine()) {
             body.put("prompt", "[work=" + id + "] [len=" + tokens + "] " + marker);
             body.put("maxTokens", Math.max(1, tokens));
-            body.put("stream", streamed());
+            body.put("stream", isStreamed());
         } else {
             body.put("work", id);
         }
--- a/tools/src/main/java/org/verbenatally/faults/Workload.java
+++ b/tools/src/main/java/org/verbenatally/faults/Workload.java
@@ -12,12 +12,12 @@
 import org.verbenatally.config.Organisation;
 
 /**
- * Mixed work of a deployment, sent at a steady rate to all entries. The order of kinds, organisations and lengths
- * depends on the seed only.
+ * Sends work items of all kinds of a deployment to all entries at a constant rate. The sequence of kinds, organisations
+ * and lengths depends only on the seed.
  */
 final class Workload {
     private static final double MEDIAN_TOKENS = 60;
-    private static final double SPREAD = 0.8;
+    private static final double LOG_STANDARD_DEVIATION = 0.8;
     private static final int MAX_TOKENS = 400;
 
     private final Cluster cluster;
@@ -25,14 +25,14 @@
     private final UniformRandomProvider random;
     private final List<Kind> kinds;
     private final List<Organisation> organisations;
-    private final Phaser open = new Phaser(1);
-    private final AtomicInteger finished = new AtomicInteger();
-    private final AtomicInteger started = new AtomicInteger();
+    private final Phaser openRequests = new Phaser(1);
+    private final AtomicInteger finishedCount = new AtomicInteger();
+    private final AtomicInteger startedCount = new AtomicInteger();
     private volatile boolean stopped;
 
-    Workload(Cluster cluster, long seed, int patienceMs) {
+    Workload(Cluster cluster, long seed, int timeoutMs) {
         this.cluster = cluster;
-        caller = new Caller(cluster, patienceMs);
+        caller = new Caller(cluster, timeoutMs);
         random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         kinds = cluster.deployment().kinds().values().stream()
                 .sorted(Comparator.comparing(kind -> kind.name().toString()))
@@ -42,71 +42,71 @@
                 .toList();
     }
 
-    /** Sends a number of requests and returns when all have ended. */
+    /** Sends the given number of requests, {@code perSecond} each second, and returns when all have ended. */
     void run(int requests, double perSecond) {
-        long start = System.nanoTime();
+        long startNanos = System.nanoTime();
         for (int i = 0; i < requests && !stopped; i++) {
-            Cluster.sleep(Math.max(0, (long) (i * 1e3 / perSecond) - (System.nanoTime() - start) / 1_000_000));
-            sendOne();
+            Cluster.sleep(Math.max(0, (long) (i * 1e3 / perSecond) - (System.nanoTime() - startNanos) / 1_000_000));
+            sendNext();
         }
-        open.arriveAndAwaitAdvance();
+        openRequests.arriveAndAwaitAdvance();
     }
 
-    /** Sends at a steady rate in the background until {@link #stop}. */
+    /** Sends {@code perSecond} requests each second in the background until {@link #stop} is called. */
     Workload start(double perSecond) {
         Thread.ofVirtual().name("workload").start(() -> run(Integer.MAX_VALUE, perSecond));
         return this;
     }
 
-    /** Ends the sending and waits for the answers that are still open. */
+    /** Stops sending and waits for up to 60 s until all open requests have ended. */
     void stop() {
         stopped = true;
-        long end = System.nanoTime() + 60_000_000_000L;
-        while (finished.get() < started.get() && System.nanoTime() - end < 0) {
+        long deadlineNanos = System.nanoTime() + 60_000_000_000L;
+        while (finishedCount.get() < startedCount.get() && System.nanoTime() - deadlineNanos < 0) {
             Cluster.sleep(20);
         }
     }
 
     int finished() {
-        return finished.get();
+        return finishedCount.get();
     }
 
-    private void sendOne() {
-        Work work = next();
-        int entry = balanced(random.nextInt(cluster.size()));
-        int serial = started.incrementAndGet();
-        open.register();
+    private void sendNext() {
+        WorkItem work = nextWork();
+        int entry = entryInRotation(random.nextInt(cluster.size()));
+        int serial = startedCount.incrementAndGet();
+        openRequests.register();
         Thread.ofVirtual().name("caller-" + serial).start(() -> {
             try {
                 caller.send(work.kind().repeatable() ? work : caller.withKey(work, entry), entry);
             } catch (RuntimeException e) {
-                // No key was issued, so nothing was sent; the caller tries again later.
+                // No key was issued, so no request was sent and none is open.
             } finally {
-                finished.incrementAndGet();
-                open.arriveAndDeregister();
+                finishedCount.incrementAndGet();
+                openRequests.arriveAndDeregister();
             }
         });
     }
 
-    private int balanced(int wanted) {
+    private int entryInRotation(int preferred) {
         for (int i = 0; i < cluster.size(); i++) {
-            int entry = (wanted + i) % cluster.size();
-            if (cluster.isBalancedTo(entry)) {
+            int entry = (preferred + i) % cluster.size();
+            if (cluster.isInRotation(entry)) {
                 return entry;
             }
         }
-        return wanted;
+        return preferred;
     }
 
-    /** Returns the next piece of work; each organisation sends according to its share. */
-    Work next() {
+    /** Returns the next work item. Organisations are chosen in proportion to their shares. */
+    WorkItem nextWork() {
         Kind kind = kinds.get(random.nextInt(kinds.size()));
-        double length = MEDIAN_TOKENS * Math.exp(SPREAD * gaussian());
+        double length = MEDIAN_TOKENS * Math.exp(LOG_STANDARD_DEVIATION * gaussian());
         int tokens = Math.max(1, Math.min(MAX_TOKENS, (int) length));
-        return new Work(
+        return new WorkItem(
                 "w" + Long.toHexString(random.nextLong()),
                 kind,
-                organisation().id().toString(),
+                randomOrganisation().id().toString(),
                 null,
                 tokens,
                 "");
@@ -116,16 +116,16 @@
         return Math.sqrt(-2 * Math.log(1 - random.nextDouble())) * Math.cos(2 * Math.PI * random.nextDouble());
     }
 
-    private Organisation organisation() {
-        List<Double> upTo = new ArrayList<>();
+    private Organisation randomOrganisation() {
+        List<Double> cumulativeShares = new ArrayList<>();
         double sum = 0;
         for (Organisation each : organisations) {
             sum += each.share();
-            upTo.add(sum);
+            cumulativeShares.add(sum);
         }
-        double at = random.nextDouble() * sum;
-        for (int i = 0; i < upTo.size(); i++) {
-            if (at < upTo.get(i)) {
+        double sample = random.nextDouble() * sum;
+        for (int i = 0; i < cumulativeShares.size(); i++) {
+            if (sample < cumulativeShares.get(i)) {
                 return organisations.get(i);
             }
         }
--- a/tools/src/test/java/org/verbenatally/faults/LinksTest.java
+++ b/tools/src/test/java/org/verbenatally/faults/LinksTest.java
@@ -16,8 +16,8 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 class LinksTest {
-    private static final int SHORT_MS = 300;
-    private static final int LONG_MS = 20_000;
+    private static final int SHORT_TIMEOUT_MS = 300;
+    private static final int LONG_TIMEOUT_MS = 20_000;
 
     private final Links links = new Links(() -> Map.of(ProcessHandle.current().pid(), "test"));
     private ServerSocket server;
@@ -37,7 +37,7 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket(relay.host(), relay.port());
-        socket.setSoTimeout(LONG_MS);
+        socket.setSoTimeout(LONG_TIMEOUT_MS);
         return socket;
     }
 
@@ -46,47 +46,48 @@
         return socket.getInputStream().read();
     }
 
-    /** Guards against a cut that loses or reorders bytes instead of delaying them, or that also cuts the other way. */
+    /** Guards against a cut that loses or reorders bytes instead of delaying them, or that cuts both directions. */
     @Test
     void holdsOneDirectionAndDeliversAfterHealing() throws IOException {
-        try (Socket near = connect();
-                Socket far = server.accept()) {
+        try (Socket client = connect();
+                Socket accepted = server.accept()) {
             links.hold((from, to) -> from.equals("test") && to.equals("server"));
-            near.getOutputStream().write(1);
-            far.getOutputStream().write(2);
-            assertThat(readWithin(near, LONG_MS)).isEqualTo(2);
-            assertThatThrownBy(() -> readWithin(far, SHORT_MS)).isInstanceOf(SocketTimeoutException.class);
+            client.getOutputStream().write(1);
+            accepted.getOutputStream().write(2);
+            assertThat(readWithin(client, LONG_TIMEOUT_MS)).isEqualTo(2);
+            assertThatThrownBy(() -> readWithin(accepted, SHORT_TIMEOUT_MS)).isInstanceOf(SocketTimeoutException.class);
             links.heal();
-            assertThat(readWithin(far, LONG_MS)).isEqualTo(1);
+            assertThat(readWithin(accepted, LONG_TIMEOUT_MS)).isEqualTo(1);
         }
     }
 
-    /** Guards against silence that ends by itself, or that also hits connections opened later. */
+    /** Guards against silenced connections that heal, and against silencing connections that are opened later. */
     @Test
     void silencesOpenConnectionsOnly() throws IOException {
         try (Socket old = connect();
-                Socket oldFar = server.accept()) {
+                Socket oldAccepted = server.accept()) {
             old.getOutputStream().write(1);
-            assertThat(readWithin(oldFar, LONG_MS)).isEqualTo(1);
+            assertThat(readWithin(oldAccepted, LONG_TIMEOUT_MS)).isEqualTo(1);
             assertThat(links.silence((from, to) -> from.equals("test"))).isEqualTo(1);
             links.heal();
             old.getOutputStream().write(2);
-            assertThatThrownBy(() -> readWithin(oldFar, SHORT_MS)).isInstanceOf(SocketTimeoutException.class);
+            assertThatThrownBy(() -> readWithin(oldAccepted, SHORT_TIMEOUT_MS))
+                    .isInstanceOf(SocketTimeoutException.class);
             try (Socket fresh = connect();
-                    Socket freshFar = server.accept()) {
+                    Socket freshAccepted = server.accept()) {
                 fresh.getOutputStream().write(3);
-                assertThat(readWithin(freshFar, LONG_MS)).isEqualTo(3);
+                assertThat(readWithin(freshAccepted, LONG_TIMEOUT_MS)).isEqualTo(3);
             }
         }
     }
 
-    /** Guards against a relay that swallows the end of a connection. */
+    /** Guards against a relay that does not forward the end of a connection. */
     @Test
-    void passesOnTheEnd() throws IOException {
-        try (Socket near = connect();
-                Socket far = server.accept()) {
-            near.shutdownOutput();
-            assertThat(readWithin(far, LONG_MS)).isEqualTo(-1);
+    void forwardsEndOfStream() throws IOException {
+        try (Socket client = connect();
+                Socket accepted = server.accept()) {
+            client.shutdownOutput();
+            assertThat(readWithin(accepted, LONG_TIMEOUT_MS)).isEqualTo(-1);
         }
     }
 }
