--- a/tools/src/main/java/org/verbenatally/faults/Cluster.java
+++ b/tools/src/main/java/org/verbenatally/faults/Cluster.java
@@ -119,6 +119,7 @@
         return names;
     }
 
+    /** Returns the address of the relay in front of an address, or that address itself if there are no relays. */
     private Address relayedAddress(String name, Address listenAddress) {
         return links == null
                 ? listenAddress
--- a/tools/src/main/java/org/verbenatally/faults/KeyCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/KeyCases.java
@@ -110,7 +110,7 @@
                 .filter(response -> response.outcome() == Outcome.UNKNOWN)
                 .count();
         trial.recordFigure("unknown-copies", unknown);
-        trial.expect(unknown <= 12, unknown + " requests have an unknown outcome, but only 6 calls were hit");
+        trial.expect(unknown <= 12, unknown + " requests have an unknown outcome, but only 6 calls were affected");
     }
 
     private static void entryPaused(Trial trial, int pauseMs) {
--- a/tools/src/main/java/org/verbenatally/faults/LinkCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/LinkCases.java
@@ -105,6 +105,7 @@
         trial.recordFigure("known-afterwards", done + "/" + workItems.size());
     }
 
+    /** Sends a call to an entry that does not own its key; returns whether the call was forwarded and done. */
     private static boolean isForwarded(Trial trial, int owner, int entry) {
         return trial.await(trial.send(trial.keyedWork(owner), entry)).outcome() == Outcome.DONE;
     }
--- a/tools/src/main/java/org/verbenatally/faults/Standins.java
+++ b/tools/src/main/java/org/verbenatally/faults/Standins.java
@@ -32,16 +32,16 @@
     /** Starts the platform and all targets of a deployment document. */
     Standins(Path folder, ClusterOptions options, JsonNode document) {
         this.folder = folder;
-        List<String> shared = new ArrayList<>();
-        shared.add("platform,id=platform,instanceLagMs=500");
+        List<String> sharedArguments = new ArrayList<>();
+        sharedArguments.add("platform,id=platform,instanceLagMs=500");
         for (JsonNode target : document.path("targets")) {
             String id = target.path("id").asText();
             arguments.put(id, argument(target, options));
             if (!options.separateTargets().contains(id)) {
-                shared.add(arguments.get(id));
+                sharedArguments.add(arguments.get(id));
             }
         }
-        start(SHARED_PROCESS, shared);
+        start(SHARED_PROCESS, sharedArguments);
         options.separateTargets().forEach(id -> start(id, List.of(arguments.get(id) + ",port=" + Ports.findFree())));
     }
 
--- a/tools/src/main/java/org/verbenatally/faults/StreamCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/StreamCases.java
@@ -82,12 +82,13 @@
         int tokens = 60;
         var responses = sendUntilStartedOnEngine(trial, tokens);
         trial.await("one of the last two tokens of a stream", () -> {
-            Set<String> last = trial.cluster().history().all(TokenSeen.class).stream()
+            Set<String> lastGenerations = trial.cluster().history().all(TokenSeen.class).stream()
                     .filter(token -> token.offset() >= tokens - 2)
                     .map(TokenSeen::generation)
                     .collect(Collectors.toSet());
             return trial.events(ENGINE, "start").stream()
-                    .anyMatch(start -> last.contains(start.path("generation").asText()));
+                    .anyMatch(start ->
+                            lastGenerations.contains(start.path("generation").asText()));
         });
         trial.cluster().killTarget(ENGINE);
         List<Answer> completed = trial.await(responses);
--- a/tools/src/main/java/org/verbenatally/faults/Trial.java
+++ b/tools/src/main/java/org/verbenatally/faults/Trial.java
@@ -143,6 +143,11 @@
                 .toList();
     }
 
+    /**
+     * Waits for a response.
+     *
+     * @throws IllegalStateException if the request does not end within twice the timeout of the caller
+     */
     Answer await(CompletableFuture<Answer> response) {
         try {
             return response.get(CALLER_TIMEOUT_MS * 2, TimeUnit.MILLISECONDS);
