--- a/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
@@ -23,7 +23,7 @@
         WaitQueue waitQueue,
         TargetClient client,
         WireCodec codec,
-        RepeatAllowance retryAllowance,
+        RetryAllowance retryAllowance,
         CrashDetector crashDetector,
         BodyMemory bodyMemory,
         ForwardMetrics metrics) {}
--- a/forward/src/main/java/org/verbenatally/forward/ForwardOptions.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardOptions.java
@@ -27,7 +27,7 @@
         PeerOptions peers,
         Duration grace,
         Duration drain,
-        RepeatAllowance.Rule retryRule) {
+        RetryAllowance.Rule retryRule) {
 
     /** Checks that no component is {@code null}. */
     public ForwardOptions {
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -70,7 +70,7 @@
                 new WaitQueue(timer),
                 new TargetClient(vertx, this::liveMembers),
                 codec,
-                new RepeatAllowance(timer, options.retryRule(), this::liveMembers),
+                new RetryAllowance(timer, options.retryRule(), this::liveMembers),
                 new CrashDetector(suspects, directory, timer, vertx),
                 new BodyMemory(),
                 metrics);
--- a/forward/src/main/java/org/verbenatally/forward/RepeatAllowance.java
+++ b/forward/src/main/java/org/verbenatally/forward/RetryAllowance.java
@@ -15,7 +15,7 @@
  * Limits how often requests are retried at each service, over a sliding window: to a ratio of this instance's first
  * sends, plus its part of a fixed number that all instances share. Safe for use by several threads.
  */
-public final class RepeatAllowance {
+public final class RetryAllowance {
     /** Share of the allowance that is used, since the windows and the member counts of two instances differ. */
     private static final double USED_SHARE = 0.7;
     /** Number of targets that may reject a request before it is refused. */
@@ -58,7 +58,7 @@
      * @param rule the limit
      * @param members live instances, this one included
      */
-    public RepeatAllowance(TimerService timer, Rule rule, IntSupplier members) {
+    public RetryAllowance(TimerService timer, Rule rule, IntSupplier members) {
         this.timer = Objects.requireNonNull(timer, "timer");
         this.rule = Objects.requireNonNull(rule, "rule");
         this.members = Objects.requireNonNull(members, "members");
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -60,8 +60,8 @@
         server.start((source, body) -> deployment.get());
     }
 
-    private static RepeatAllowance.Rule rule() {
-        return new RepeatAllowance.Rule(0.2, Duration.ofSeconds(10), 50);
+    private static RetryAllowance.Rule rule() {
+        return new RetryAllowance.Rule(0.2, Duration.ofSeconds(10), 50);
     }
 
     private static PeerOptions peers() throws IOException {
