--- a/forward/src/main/java/org/verbenatally/forward/Attempt.java
+++ b/forward/src/main/java/org/verbenatally/forward/Attempt.java
@@ -19,7 +19,8 @@
  * @param response the response, paused
  * @param head the decoded head of the response
  */
-record Attempt(TargetState targetState, HttpClientRequest clientRequest, HttpClientResponse response, AnswerHead head) {
+record Attempt(
+        TargetState targetState, HttpClientRequest clientRequest, HttpClientResponse response, ResponseHead head) {
     private static final Logger LOG = Logger.getLogger(Attempt.class);
 
     /**
--- a/forward/src/main/java/org/verbenatally/forward/CallRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallRun.java
@@ -145,7 +145,7 @@
     }
 
     private Optional<String> onResponse(Attempt attempt) {
-        AnswerHead head = attempt.head();
+        ResponseHead head = attempt.head();
         TargetState state = attempt.targetState();
         if (head.isUntrusted(request.id())) {
             attempt.cancel();
--- a/forward/src/main/java/org/verbenatally/forward/AnswerHead.java
+++ b/forward/src/main/java/org/verbenatally/forward/ResponseHead.java
@@ -11,7 +11,7 @@
  * @param genuine whether the body that follows is the target's own; a successful response that is not genuine must not
  *     be passed on
  */
-public record AnswerHead(int status, boolean notRun, Optional<String> requestId, boolean genuine) {
+public record ResponseHead(int status, boolean notRun, Optional<String> requestId, boolean genuine) {
     private static final int SUCCESS = 200;
     private static final int FIRST_NOT_SUCCESS = 300;
     private static final int SERVER_ERROR = 500;
--- a/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
@@ -144,7 +144,7 @@
         try {
             var continuation = new TargetOrder.Continuation(holder, copyId, events.lastId());
             Attempt attempt = sender.send(inFlight, Urgency.CONTINUED, Optional.of(continuation), CONTINUE_TIMEOUT);
-            AnswerHead head = attempt.head();
+            ResponseHead head = attempt.head();
             if (head.notRun() || !head.isSuccess() || head.isUntrusted(request.id())) {
                 attempt.cancel();
                 inFlight.end();
--- a/forward/src/main/java/org/verbenatally/forward/StreamRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamRun.java
@@ -201,7 +201,7 @@
             End end = forwardSegment();
             switch (end) {
                 case COMPLETE -> {
-                    AnswerHead head = segment.attempt().head();
+                    ResponseHead head = segment.attempt().head();
                     segment.targetState()
                             .recordOutcome(
                                     head.isServerError(), components.timer().nanos());
--- a/forward/src/main/java/org/verbenatally/forward/WireCodec.java
+++ b/forward/src/main/java/org/verbenatally/forward/WireCodec.java
@@ -25,7 +25,7 @@
     void write(TargetOrder order, MultiMap headers);
 
     /** Reads the head of a target's response. */
-    AnswerHead read(HttpClientResponse response);
+    ResponseHead read(HttpClientResponse response);
 
     /**
      * Returns the call that copies a running generation to another engine.
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -53,8 +53,8 @@
     }
 
     @Override
-    public AnswerHead read(HttpClientResponse response) {
-        return new AnswerHead(
+    public ResponseHead read(HttpClientResponse response) {
+        return new ResponseHead(
                 response.statusCode(),
                 response.getHeader(NOT_RUN) != null,
                 Optional.ofNullable(response.getHeader(ID)),
