--- a/forward/src/main/java/org/verbenatally/forward/StreamMigration.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamMigration.java
@@ -134,7 +134,8 @@
     }
 
     private Optional<String> requestCopy(StreamSegment segment, TargetState holder) {
-        CopyCall call = components.codec().copy(request.id(), holder.target().address());
+        CopyRequest copyRequest =
+                components.codec().copyRequest(request.id(), holder.target().address());
         LogEvent event = LogEvent.of("stream.copied")
                 .request(request.id())
                 .with("from", segment.targetState().target().id())
@@ -146,13 +147,13 @@
                     .connect(
                             request.service(),
                             segment.targetState().target().address(),
-                            call.method(),
-                            call.uri(),
+                            copyRequest.method(),
+                            copyRequest.uri(),
                             COPY_TIMEOUT);
             HttpClientResponse response =
-                    components.client().send(clientRequest, call.body(), COPY_TIMEOUT, reset -> {});
+                    components.client().send(clientRequest, copyRequest.body(), COPY_TIMEOUT, reset -> {});
             Optional<String> copied =
-                    components.codec().readCopy(response.statusCode(), readBody(clientRequest, response));
+                    components.codec().readCopyResponse(response.statusCode(), readBody(clientRequest, response));
             event.with("status", response.statusCode())
                     .with(
                             "ms",
--- a/forward/src/main/java/org/verbenatally/forward/WireCodec.java
+++ b/forward/src/main/java/org/verbenatally/forward/WireCodec.java
@@ -28,13 +28,13 @@
     ResponseHead read(HttpClientResponse response);
 
     /**
-     * Returns the call that copies a running generation to another engine.
+     * Returns the request that copies a running generation to another engine.
      *
      * @param requestId id of the request that asked for the generation
      * @param destination engine that receives the copy
      */
-    CopyCall copy(String requestId, Address destination);
+    CopyRequest copyRequest(String requestId, Address destination);
 
-    /** Returns the id of a copy from the response to such a call, or empty if there is none. */
-    Optional<String> readCopy(int status, Buffer body);
+    /** Returns the id of a copy from the response to such a request, or empty if there is none. */
+    Optional<String> readCopyResponse(int status, Buffer body);
 }
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -62,12 +62,12 @@
     }
 
     @Override
-    public CopyCall copy(String requestId, Address destination) {
-        return new CopyCall(HttpMethod.POST, "/copy", Buffer.buffer(requestId + ">" + destination));
+    public CopyRequest copyRequest(String requestId, Address destination) {
+        return new CopyRequest(HttpMethod.POST, "/copy", Buffer.buffer(requestId + ">" + destination));
     }
 
     @Override
-    public Optional<String> readCopy(int status, Buffer body) {
+    public Optional<String> readCopyResponse(int status, Buffer body) {
         return status == 200 ? Optional.of(body.toString()) : Optional.empty();
     }
 }
