--- a/forward/src/main/java/org/verbenatally/forward/ReadPace.java
+++ b/forward/src/main/java/org/verbenatally/forward/ReadRate.java
@@ -10,7 +10,7 @@
  * Decides how often one instance reads the source of targets and configuration. The instances pass on what they read,
  * so that the reads of the whole fleet count; one that receives no updates from the others reads for itself.
  */
-public final class ReadPace {
+public final class ReadRate {
     /** A leaving engine is noticed within about an eighth of a second, of the second or two of notice that it gives. */
     private static final int FLEET_READS_PER_SECOND = 8;
 
@@ -47,11 +47,11 @@
      *
      * @param staleAfter age of the list beyond which the instance reads it itself
      */
-    public ReadPace(Duration staleAfter) {
+    public ReadRate(Duration staleAfter) {
         this(staleAfter, () -> ThreadLocalRandom.current().nextDouble());
     }
 
-    ReadPace(Duration staleAfter, DoubleSupplier random) {
+    ReadRate(Duration staleAfter, DoubleSupplier random) {
         this.staleAfter = Objects.requireNonNull(staleAfter, "staleAfter");
         this.random = Objects.requireNonNull(random, "random");
     }
@@ -102,7 +102,7 @@
      *
      * @param failures number of requests that have failed so far, at least one
      */
-    public Duration retry(int failures) {
+    public Duration retryPause(int failures) {
         Duration longest = FIRST_RETRY.multipliedBy(1L << Math.min(failures, MAX_DOUBLINGS + 1) - 1);
         double factor = 1 - JITTER * random.getAsDouble();
         return Duration.ofNanos((long) (longest.toNanos() * factor));
@@ -112,7 +112,7 @@
      * Returns how long one watch of the configuration waits; in a large fleet, other instances are notified of a change
      * as well.
      */
-    public Duration watch(int members) {
+    public Duration watchDuration(int members) {
         return clamp(interval(members, FLEET_WATCHES_PER_SECOND), MIN_WATCH, MAX_WATCH);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/ReadTurns.java
+++ b/forward/src/main/java/org/verbenatally/forward/ReadTurns.java
@@ -16,18 +16,18 @@
     private static final Duration MIN_CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final TimerService timer;
-    private final ReadPace pace;
+    private final ReadRate rate;
     private long nextTurn;
     private long earliestEarlyRead;
 
     /**
      * Creates turns that begin now.
      *
-     * @param pace determines the pauses between reads
+     * @param rate determines the pauses between reads
      */
-    public ReadTurns(TimerService timer, ReadPace pace) {
+    public ReadTurns(TimerService timer, ReadRate rate) {
         this.timer = Objects.requireNonNull(timer, "timer");
-        this.pace = Objects.requireNonNull(pace, "pace");
+        this.rate = Objects.requireNonNull(rate, "rate");
         this.nextTurn = timer.nanos();
         this.earliestEarlyRead = nextTurn;
     }
@@ -40,11 +40,11 @@
      */
     public void tried(int members, Optional<Duration> age) {
         long now = timer.nanos();
-        long next = now + pace.nextPause(members, age).toNanos();
+        long next = now + rate.nextPause(members, age).toNanos();
         // While the source is down there are no updates to pass on, so all instances would read again as soon as they
         // may.
         earliestEarlyRead =
-                pace.timeUntilStale(age).isZero() ? next : now + pace.minPause().toNanos();
+                rate.timeUntilStale(age).isZero() ? next : now + rate.minPause().toNanos();
         nextTurn = nextTurn - now <= 0 ? next : Math.min(nextTurn, next);
     }
 
@@ -55,7 +55,7 @@
                         nextTurn,
                         Math.max(
                                 earliestEarlyRead,
-                                now + pace.timeUntilStale(age).toNanos()))
+                                now + rate.timeUntilStale(age).toNanos()))
                 - now;
         if (rest <= 0) {
             return Duration.ZERO;
--- a/forward/src/test/java/org/verbenatally/forward/ReadPaceTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ReadRateTest.java
@@ -9,10 +9,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ReadPaceTest {
+class ReadRateTest {
     private static final Duration STALE = Duration.ofSeconds(1);
     private static final Optional<Duration> FRESH = Optional.of(Duration.ofMillis(200));
-    private final ReadPace pace = new ReadPace(STALE);
+    private final ReadRate rate = new ReadRate(STALE);
 
     /**
      * Pattern: a fleet that grows. Guards against a read rate that grows with it, and against noticing late that a
@@ -23,21 +23,21 @@
     void fleetReadsAtAConstantRate(int members) {
         double reads = 0;
         for (int i = 0; i < members; i++) {
-            reads += 1e9 / pace.nextPause(members, FRESH).toNanos();
+            reads += 1e9 / rate.nextPause(members, FRESH).toNanos();
         }
         assertThat(reads).isBetween(8.0, 12.0);
-        assertThat(members * 1e9 / pace.watch(members).toNanos()).isLessThanOrEqualTo(11);
+        assertThat(members * 1e9 / rate.watchDuration(members).toNanos()).isLessThanOrEqualTo(11);
     }
 
     /** Guards against an instance that receives no updates and does not read for itself. */
     @ParameterizedTest
     @ValueSource(ints = {1, 95})
     void instanceWithoutUpdatesReadsEachSecond(int members) {
-        assertThat(pace.minPause()).isLessThanOrEqualTo(Duration.ofSeconds(1));
-        assertThat(pace.timeUntilStale(Optional.empty())).isZero();
-        assertThat(pace.timeUntilStale(Optional.of(STALE.plusMillis(1)))).isZero();
-        assertThat(pace.timeUntilStale(Optional.of(Duration.ofMillis(400)))).isEqualTo(Duration.ofMillis(600));
-        assertThat(pace.nextPause(members, Optional.empty())).isLessThanOrEqualTo(Duration.ofSeconds(2));
+        assertThat(rate.minPause()).isLessThanOrEqualTo(Duration.ofSeconds(1));
+        assertThat(rate.timeUntilStale(Optional.empty())).isZero();
+        assertThat(rate.timeUntilStale(Optional.of(STALE.plusMillis(1)))).isZero();
+        assertThat(rate.timeUntilStale(Optional.of(Duration.ofMillis(400)))).isEqualTo(Duration.ofMillis(600));
+        assertThat(rate.nextPause(members, Optional.empty())).isLessThanOrEqualTo(Duration.ofSeconds(2));
     }
 
     /**
@@ -48,11 +48,11 @@
     void rejectedInstancesKeepTheirReadRateWhileOthersSucceed() {
         double reads = 0;
         for (int i = 0; i < 32; i++) {
-            reads += 1e9 / pace.nextPause(95, FRESH).toNanos();
+            reads += 1e9 / rate.nextPause(95, FRESH).toNanos();
         }
         assertThat(reads).isLessThan(4);
         Optional<Duration> stale = Optional.of(STALE.plusMillis(1));
-        assertThat(pace.nextPause(95, stale)).isLessThanOrEqualTo(Duration.ofSeconds(2));
+        assertThat(rate.nextPause(95, stale)).isLessThanOrEqualTo(Duration.ofSeconds(2));
     }
 
     /**
@@ -62,7 +62,7 @@
     @Test
     void configurationIsRetriedWithinOneSecond() {
         for (int failures = 1; failures < 40; failures++) {
-            assertThat(pace.retry(failures)).isBetween(Duration.ofMillis(100), Duration.ofSeconds(1));
+            assertThat(rate.retryPause(failures)).isBetween(Duration.ofMillis(100), Duration.ofSeconds(1));
         }
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/ReadTurnsTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ReadTurnsTest.java
@@ -32,7 +32,7 @@
         private long restUntil;
 
         Instance(Random random) {
-            turns = new ReadTurns(timer, new ReadPace(STALE, random::nextDouble));
+            turns = new ReadTurns(timer, new ReadRate(STALE, random::nextDouble));
         }
 
         Optional<Duration> age() {
