--- a/forward/src/main/java/org/verbenatally/forward/ReadTurns.java
+++ b/forward/src/main/java/org/verbenatally/forward/ReadSchedule.java
@@ -7,29 +7,30 @@
 import org.verbenatally.time.TimerService;
 
 /**
- * Decides when one instance reads the list of targets: at its turn, or sooner if what the others pass on is stale. A
- * read out of turn does not postpone the turn. Otherwise instances that all find the list stale at the same moment
- * would read together, have their next turns together far ahead, and find the list stale together again.
+ * Decides when one instance reads the list of targets: at a scheduled time, or sooner if what the others pass on is
+ * stale. An early read does not postpone the scheduled one. Otherwise instances that all find the list stale at the
+ * same moment would read together, have their next scheduled reads together far ahead, and find the list stale
+ * together again.
  */
-public final class ReadTurns {
+public final class ReadSchedule {
     /** Shortest time between two checks of the age of the list. */
     private static final Duration MIN_CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final TimerService timer;
     private final ReadRate rate;
-    private long nextTurn;
+    private long nextScheduled;
     private long earliestEarlyRead;
 
     /**
-     * Creates turns that begin now.
+     * Creates a schedule whose first read is due now.
      *
      * @param rate determines the pauses between reads
      */
-    public ReadTurns(TimerService timer, ReadRate rate) {
+    public ReadSchedule(TimerService timer, ReadRate rate) {
         this.timer = Objects.requireNonNull(timer, "timer");
         this.rate = Objects.requireNonNull(rate, "rate");
-        this.nextTurn = timer.nanos();
-        this.earliestEarlyRead = nextTurn;
+        this.nextScheduled = timer.nanos();
+        this.earliestEarlyRead = nextScheduled;
     }
 
     /**
@@ -38,29 +39,29 @@
      * @param members live instances, this one included
      * @param age age of the known list, by own reads or those of others; empty if none is known
      */
-    public void tried(int members, Optional<Duration> age) {
+    public void recordRead(int members, Optional<Duration> age) {
         long now = timer.nanos();
         long next = now + rate.nextPause(members, age).toNanos();
         // While the source is down there are no updates to pass on, so all instances would read again as soon as they
         // may.
         earliestEarlyRead =
                 rate.timeUntilStale(age).isZero() ? next : now + rate.minPause().toNanos();
-        nextTurn = nextTurn - now <= 0 ? next : Math.min(nextTurn, next);
+        nextScheduled = nextScheduled - now <= 0 ? next : Math.min(nextScheduled, next);
     }
 
     /** Returns how long to wait before the next check of the age of the list; zero if the list is to be read now. */
-    public Duration rest(Optional<Duration> age) {
+    public Duration timeUntilNextCheck(Optional<Duration> age) {
         long now = timer.nanos();
-        long rest = Math.min(
-                        nextTurn,
+        long untilRead = Math.min(
+                        nextScheduled,
                         Math.max(
                                 earliestEarlyRead,
                                 now + rate.timeUntilStale(age).toNanos()))
                 - now;
-        if (rest <= 0) {
+        if (untilRead <= 0) {
             return Duration.ZERO;
         }
-        long checkPause = Math.max(rest, Math.min(MIN_CHECK_INTERVAL.toNanos(), nextTurn - now));
-        return Duration.ofNanos(checkPause);
+        long untilCheck = Math.max(untilRead, Math.min(MIN_CHECK_INTERVAL.toNanos(), nextScheduled - now));
+        return Duration.ofNanos(untilCheck);
     }
 }
--- a/forward/src/test/java/org/verbenatally/forward/ReadTurnsTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ReadScheduleTest.java
@@ -15,7 +15,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class ReadTurnsTest {
+class ReadScheduleTest {
     private static final Duration STALE = Duration.ofMillis(2_400);
     private static final Duration STEP = Duration.ofMillis(50);
     private static final int STEPS_PER_SECOND = 20;
@@ -26,13 +26,13 @@
 
     /** An instance that reports to its neighbours each second how old the newest read is that it knows of. */
     private final class Instance {
-        private final ReadTurns turns;
+        private final ReadSchedule schedule;
         private final Set<Instance> neighbours = new LinkedHashSet<>();
         private Optional<Long> known = Optional.empty();
-        private long restUntil;
+        private long nextCheck;
 
         Instance(Random random) {
-            turns = new ReadTurns(timer, new ReadRate(STALE, random::nextDouble));
+            schedule = new ReadSchedule(timer, new ReadRate(STALE, random::nextDouble));
         }
 
         Optional<Duration> age() {
@@ -47,17 +47,17 @@
 
         /** Reads if it is time to; returns whether it has read. */
         boolean step(int members, boolean reachable) {
-            if (timer.nanos() < restUntil) {
+            if (timer.nanos() < nextCheck) {
                 return false;
             }
-            Duration rest = turns.rest(age());
-            boolean read = rest.isZero();
+            Duration wait = schedule.timeUntilNextCheck(age());
+            boolean read = wait.isZero();
             if (read) {
                 receive(reachable ? Optional.of(timer.nanos()) : Optional.empty());
-                turns.tried(members, age());
-                rest = turns.rest(age());
+                schedule.recordRead(members, age());
+                wait = schedule.timeUntilNextCheck(age());
             }
-            restUntil = timer.nanos() + rest.toNanos();
+            nextCheck = timer.nanos() + wait.toNanos();
             return read;
         }
     }
@@ -102,7 +102,7 @@
             }
             timer.advance(STEP);
         }
-        // About nine reads a second are at turns; reads out of turn must be fewer than these.
+        // About nine reads a second are scheduled; early reads must be fewer than these.
         assertThat(reads / (SECONDS - 10)).as("reads a second").isBetween(8, 18);
     }
 
