--- a/forward/src/main/java/org/verbenatally/forward/CallRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallRun.java
@@ -86,7 +86,7 @@
     }
 
     private boolean mayRunAgain() {
-        return request.route().repetition() == Repetition.IDEMPOTENT
+        return request.route().retrySafety() == RetrySafety.IDEMPOTENT
                 && runs < request.route().maxAttempts();
     }
 
@@ -114,7 +114,7 @@
     }
 
     private Duration responseTimeout(Duration remaining) {
-        boolean hasAnotherRun = request.route().repetition() == Repetition.IDEMPOTENT
+        boolean hasAnotherRun = request.route().retrySafety() == RetrySafety.IDEMPOTENT
                 && runs + 1 < request.route().maxAttempts();
         if (!hasAnotherRun) {
             return remaining;
--- a/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
@@ -102,7 +102,7 @@
 
     private void forward(CallerExchange caller, long start) throws Rejected {
         ForwardedRequest forwarded = accept(caller, start);
-        boolean generates = forwarded.route().repetition() == Repetition.GENERATION
+        boolean generates = forwarded.route().retrySafety() == RetrySafety.GENERATION
                 && forwarded.service().engine().isPresent();
         String outcome = generates
                 ? new StreamRun(
@@ -114,7 +114,7 @@
                         .run()
                 : new CallRun(components, forwarded, caller).run();
         Duration elapsed = Duration.ofNanos(components.timer().nanos() - start);
-        components.metrics().recordRequest(forwarded.route().repetition(), outcome, elapsed);
+        components.metrics().recordRequest(forwarded.route().retrySafety(), outcome, elapsed);
         LogEvent.of("request.ended")
                 .request(forwarded.id())
                 .with("outcome", outcome)
@@ -145,7 +145,7 @@
                 .orElseThrow(() -> new Rejected(CallerExchange.UNAVAILABLE, "route names an unknown service"));
         Duration patience =
                 head.patience().filter(p -> p.compareTo(route.timeout()) < 0).orElse(route.timeout());
-        if (!shutdown.isAccepting(route.repetition(), patience)) {
+        if (!shutdown.isAccepting(route.retrySafety(), patience)) {
             throw new Rejected(CallerExchange.UNAVAILABLE, "this instance is stopping");
         }
         Fingerprint fingerprint =
--- a/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
@@ -9,14 +9,14 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
-/** Counters and latency histograms of a forwarding instance. Labels are bounded: outcomes and kinds of repetition. */
+/** Counters and latency histograms of a forwarding instance. Labels are bounded: outcomes and levels of retry safety. */
 public final class ForwardMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
     /** Records a request that has ended. */
-    void recordRequest(Repetition repetition, String outcome, Duration elapsed) {
+    void recordRequest(RetrySafety retrySafety, String outcome, Duration elapsed) {
         Timer.builder("verbenatally.requests")
-                .tag("repetition", repetition.name())
+                .tag("repetition", retrySafety.name())
                 .tag("outcome", outcome)
                 .publishPercentileHistogram(false)
                 .register(registry)
--- a/forward/src/main/java/org/verbenatally/forward/Repetition.java
+++ b/forward/src/main/java/org/verbenatally/forward/RetrySafety.java
@@ -1,7 +1,7 @@
 package org.verbenatally.forward;
 
 /** Whether a request may be sent again when its response is lost. */
-public enum Repetition {
+public enum RetrySafety {
     /** The request may run any number of times. */
     IDEMPOTENT,
     /** The request runs at most once. */
--- a/forward/src/main/java/org/verbenatally/forward/Route.java
+++ b/forward/src/main/java/org/verbenatally/forward/Route.java
@@ -14,7 +14,7 @@
  * @param name its name
  * @param host host that requests name
  * @param pathPrefix start of the path; begins and ends with a slash
- * @param repetition whether a request may be sent again
+ * @param retrySafety whether a request may be sent again
  * @param timeout longest time that a caller waits for the end of the response
  * @param objective time to the response, or to its first event, that callers expect
  * @param priority rank of its requests, 0 first
@@ -27,7 +27,7 @@
         RouteName name,
         String host,
         String pathPrefix,
-        Repetition repetition,
+        RetrySafety retrySafety,
         Duration timeout,
         Duration objective,
         int priority,
@@ -53,7 +53,7 @@
     public Route {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(host, "host");
-        Objects.requireNonNull(repetition, "repetition");
+        Objects.requireNonNull(retrySafety, "retrySafety");
         Objects.requireNonNull(timeout, "timeout");
         Objects.requireNonNull(objective, "objective");
         shares = List.copyOf(shares);
--- a/forward/src/main/java/org/verbenatally/forward/Shutdown.java
+++ b/forward/src/main/java/org/verbenatally/forward/Shutdown.java
@@ -66,10 +66,10 @@
      * Returns whether new requests of a kind are accepted. During a shutdown, a call is accepted only if the process
      * outlives it, whatever its target does; generations are accepted until the load balancer has noticed.
      *
-     * @param repetition kind of the request
+     * @param retrySafety retry safety of the request
      * @param patience longest time until its response
      */
-    boolean isAccepting(Repetition repetition, Duration patience) {
+    boolean isAccepting(RetrySafety retrySafety, Duration patience) {
         if (!stopping) {
             return true;
         }
@@ -77,7 +77,7 @@
             return false;
         }
         Duration elapsed = elapsed();
-        return repetition == Repetition.GENERATION
+        return retrySafety == RetrySafety.GENERATION
                 ? elapsed.toNanos() < ACCEPTING_SHARE * grace.toNanos()
                 : elapsed.plus(patience).compareTo(grace.minus(EXIT_TIME)) < 0;
     }
--- a/forward/src/test/java/org/verbenatally/forward/ForwardDeploymentTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardDeploymentTest.java
@@ -19,7 +19,7 @@
                 new RouteName("r" + Math.abs((host + prefix).hashCode())),
                 host,
                 prefix,
-                Repetition.IDEMPOTENT,
+                RetrySafety.IDEMPOTENT,
                 Duration.ofSeconds(1),
                 Duration.ofSeconds(1),
                 0,
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -29,7 +29,7 @@
 import org.verbenatally.peer.PeerTimings;
 import org.verbenatally.time.SystemTimerService;
 
-/** A forwarding instance on loopback with raw targets and one route for each kind of repetition. */
+/** A forwarding instance on loopback with raw targets and one route for each level of retry safety. */
 final class ForwardFixture implements AutoCloseable {
     static final ServiceName CALLS = new ServiceName("calls");
     static final ServiceName ENGINES = new ServiceName("engines");
@@ -97,9 +97,9 @@
         deployment.set(new ForwardDeployment(
                 new ConfigVersion(version),
                 List.of(
-                        route("once", Repetition.AT_MOST_ONCE, CALLS, 1),
-                        route("repeat", Repetition.IDEMPOTENT, CALLS, 2),
-                        route("stream", Repetition.GENERATION, ENGINES, 1)),
+                        route("once", RetrySafety.AT_MOST_ONCE, CALLS, 1),
+                        route("repeat", RetrySafety.IDEMPOTENT, CALLS, 2),
+                        route("stream", RetrySafety.GENERATION, ENGINES, 1)),
                 List.of(
                         new ServiceSpec(CALLS, 100, Optional.empty()),
                         new ServiceSpec(ENGINES, 100, Optional.of(engine))),
@@ -112,19 +112,19 @@
         }
     }
 
-    private Route route(String name, Repetition repetition, ServiceName service, int attempts) {
+    private Route route(String name, RetrySafety retrySafety, ServiceName service, int attempts) {
         return new Route(
                 new RouteName(name),
                 callers.host(),
                 "/" + name + "/",
-                repetition,
+                retrySafety,
                 TIMEOUT,
                 Duration.ofMillis(200),
                 0,
                 List.of(new Route.Share(service, 1)),
                 attempts,
                 false,
-                repetition == Repetition.GENERATION ? Optional.of(Duration.ofMillis(200)) : Optional.empty());
+                retrySafety == RetrySafety.GENERATION ? Optional.of(Duration.ofMillis(200)) : Optional.empty());
     }
 
     /** Publishes one more target. */
--- a/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
@@ -14,7 +14,7 @@
     private final Shutdown shutdown = new Shutdown(timer, Duration.ofSeconds(8));
 
     private boolean isAcceptingCall() {
-        return shutdown.isAccepting(Repetition.IDEMPOTENT, PATIENCE);
+        return shutdown.isAccepting(RetrySafety.IDEMPOTENT, PATIENCE);
     }
 
     /** Guards against accepting a call shortly before the end of the process, which cuts it off. */
