--- a/forward/src/main/java/org/verbenatally/forward/Urgency.java
+++ b/forward/src/main/java/org/verbenatally/forward/AdmissionRank.java
@@ -1,7 +1,7 @@
 package org.verbenatally.forward;
 
-/** Order in which an engine admits generations, and the reverse order in which it interrupts them. */
-public enum Urgency {
+/** Rank by which an engine admits generations, and the reverse order in which it interrupts them. */
+public enum AdmissionRank {
     /** The generation has started at another engine, and its caller is reading it. */
     CONTINUED,
     /** The generation can start on time. */
--- a/forward/src/main/java/org/verbenatally/forward/CallRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallRun.java
@@ -100,7 +100,7 @@
             var order = new TargetOrder(
                     state.target().id(),
                     remaining,
-                    Urgency.NORMAL,
+                    AdmissionRank.NORMAL,
                     request.organisation(),
                     Optional.empty(),
                     Optional.empty());
--- a/forward/src/main/java/org/verbenatally/forward/EngineAdmission.java
+++ b/forward/src/main/java/org/verbenatally/forward/EngineAdmission.java
@@ -49,9 +49,9 @@
      * Where a generation starts.
      *
      * @param targetState the engine
-     * @param urgency its rank there
+     * @param rank its admission rank there
      */
-    record Admitted(TargetState targetState, Urgency urgency) {}
+    record Admitted(TargetState targetState, AdmissionRank rank) {}
 
     EngineAdmission(ForwardComponents components) {
         this.components = Objects.requireNonNull(components, "components");
@@ -89,7 +89,7 @@
                     Optional<TargetState> state =
                             components.chooser().chooseEngine(request.service(), generation, exclude);
                     if (state.isEmpty() || mayStart(request, generation, state.get(), waited)) {
-                        return state.map(engine -> new Admitted(engine, Urgency.NORMAL));
+                        return state.map(engine -> new Admitted(engine, AdmissionRank.NORMAL));
                     }
                     if (!mayWait) {
                         double share = components
@@ -97,7 +97,7 @@
                                 .fillingMemoryShare(request.service().name());
                         return state.filter(engine ->
                                         components.chooser().hasCapacity(request.service(), generation, engine, share))
-                                .map(engine -> new Admitted(engine, Urgency.FILLING));
+                                .map(engine -> new Admitted(engine, AdmissionRank.FILLING));
                     }
                 }
                 Duration remainingWait = maxWait.minus(waited);
--- a/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
@@ -143,7 +143,8 @@
         InFlightRequest inFlight = sender.reserve(state);
         try {
             var continuation = new TargetOrder.Continuation(holder, copyId, events.lastId());
-            Attempt attempt = sender.send(inFlight, Urgency.CONTINUED, Optional.of(continuation), CONTINUE_TIMEOUT);
+            Attempt attempt =
+                    sender.send(inFlight, AdmissionRank.CONTINUED, Optional.of(continuation), CONTINUE_TIMEOUT);
             ResponseHead head = attempt.head();
             if (head.notRun() || !head.isSuccess() || head.isUntrusted(request.id())) {
                 attempt.cancel();
--- a/forward/src/main/java/org/verbenatally/forward/StreamRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamRun.java
@@ -43,7 +43,7 @@
     private final StreamContinuation continuation;
     private final Set<TargetId> tried = new HashSet<>();
     private final EventSplitter events = new EventSplitter();
-    private Urgency urgency = Urgency.NORMAL;
+    private AdmissionRank rank = AdmissionRank.NORMAL;
     private int sends;
     private long chunksForwarded;
     private long firstChunkNanos;
@@ -120,7 +120,7 @@
             if (!components.retryAllowance().tryAcquire(request.service().name(), sends)) {
                 return refuse("no repeat allowed");
             }
-            urgency = admitted.get().urgency();
+            rank = admitted.get().rank();
             Optional<String> outcome = sendTo(admitted.get().targetState());
             if (outcome.isPresent()) {
                 return outcome.get();
@@ -152,7 +152,7 @@
             sends++;
             Attempt attempt = sender.send(
                     inFlight,
-                    urgency,
+                    rank,
                     Optional.empty(),
                     request.remaining(components.timer().nanos()));
             // A refusal that belongs to another request says nothing about this one, which may be running.
--- a/forward/src/main/java/org/verbenatally/forward/StreamSender.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamSender.java
@@ -57,13 +57,13 @@
      */
     Attempt send(
             InFlightRequest inFlight,
-            Urgency urgency,
+            AdmissionRank rank,
             Optional<TargetOrder.Continuation> continuation,
             Duration limit) {
         var order = new TargetOrder(
                 inFlight.targetState().target().id(),
                 request.remaining(components.timer().nanos()),
-                urgency,
+                rank,
                 request.organisation(),
                 Optional.ofNullable(inFlight.backup()).map(b -> b.target().address()),
                 continuation);
--- a/forward/src/main/java/org/verbenatally/forward/TargetOrder.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetOrder.java
@@ -13,7 +13,7 @@
  *
  * @param target the only target that may run it
  * @param timeLeft remaining time in which the response is of use
- * @param urgency rank among the generations of an engine
+ * @param rank rank among the generations of an engine
  * @param organisation organisation of the caller
  * @param backup engine that keeps a backup of the generation
  * @param continuation where the generation continues from, if it has started at another engine
@@ -21,7 +21,7 @@
 public record TargetOrder(
         TargetId target,
         Duration timeLeft,
-        Urgency urgency,
+        AdmissionRank rank,
         Optional<OrganisationId> organisation,
         Optional<Address> backup,
         Optional<Continuation> continuation) {
