--- a/forward/src/main/java/org/verbenatally/forward/Attempt.java
+++ b/forward/src/main/java/org/verbenatally/forward/Attempt.java
@@ -30,7 +30,7 @@
      * @param request the request
      * @param caller its caller; the send is cancelled when the caller leaves
      * @param state state of the target
-     * @param order what is added to the request
+     * @param metadata what is added to the request
      * @param limit longest wait for the head
      * @throws StepException with outcome {@code NOT_RUN} if nothing was sent, {@code UNKNOWN} if the target may run it
      */
@@ -39,7 +39,7 @@
             ForwardedRequest request,
             CallerExchange caller,
             TargetState state,
-            TargetOrder order,
+            ForwardingMetadata metadata,
             Duration limit) {
         ForwardTarget target = state.target();
         HttpClientRequest clientRequest;
@@ -62,16 +62,16 @@
             throw new StepException(Step.SEND, target.id().value(), Outcome.NOT_RUN, reason);
         }
         Headers.copyEndToEnd(caller.request().headers(), clientRequest.headers());
-        components.codec().write(order, clientRequest.headers());
+        components.codec().write(metadata, clientRequest.headers());
         LogEvent.of("request.sent")
                 .request(request.id())
                 .with("target", target.id())
-                .with("leftMs", order.timeLeft().toMillis())
+                .with("leftMs", metadata.remaining().toMillis())
                 .with("ownRequests", state.ownRequests())
                 .with("peerRequests", state.peerRequests())
                 .with("tokens", state.ownTokens() + state.peerTokens())
-                .with("backup", order.backup().map(Object::toString).orElse(""))
-                .with("continues", order.continuation().isPresent())
+                .with("backup", metadata.backup().map(Object::toString).orElse(""))
+                .with("continues", metadata.continuation().isPresent())
                 .info(LOG);
         try {
             HttpClientResponse response =
--- a/forward/src/main/java/org/verbenatally/forward/CallRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallRun.java
@@ -97,14 +97,14 @@
                 new InFlightRequest(request.id(), request.fingerprint(), state, null, null, () -> {});
         try {
             sends++;
-            var order = new TargetOrder(
+            var metadata = new ForwardingMetadata(
                     state.target().id(),
                     remaining,
                     AdmissionRank.NORMAL,
                     request.organisation(),
                     Optional.empty(),
                     Optional.empty());
-            Attempt attempt = Attempt.start(components, request, caller, state, order, responseTimeout(remaining));
+            Attempt attempt = Attempt.start(components, request, caller, state, metadata, responseTimeout(remaining));
             return onResponse(attempt);
         } catch (StepException e) {
             return onFailure(state, e);
--- a/forward/src/main/java/org/verbenatally/forward/TargetOrder.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardingMetadata.java
@@ -9,18 +9,18 @@
 import org.verbenatally.core.TargetId;
 
 /**
- * What an instance adds to a request when it sends it to a target.
+ * Metadata that an instance adds to a request when it sends the request to a target.
  *
- * @param target the only target that may run it
- * @param timeLeft remaining time in which the response is of use
- * @param rank rank among the generations of an engine
+ * @param target the only target that may run the request
+ * @param remaining time in which the response is of use
+ * @param rank admission rank among the generations of an engine
  * @param organisation organisation of the caller
  * @param backup engine that keeps a backup of the generation
  * @param continuation where the generation continues from, if it has started at another engine
  */
-public record TargetOrder(
+public record ForwardingMetadata(
         TargetId target,
-        Duration timeLeft,
+        Duration remaining,
         AdmissionRank rank,
         Optional<OrganisationId> organisation,
         Optional<Address> backup,
@@ -36,8 +36,8 @@
     public record Continuation(Address holder, String copy, Optional<String> lastEvent) {}
 
     /** Checks that the target and the remaining time are not {@code null}. */
-    public TargetOrder {
+    public ForwardingMetadata {
         Objects.requireNonNull(target, "target");
-        Objects.requireNonNull(timeLeft, "timeLeft");
+        Objects.requireNonNull(remaining, "remaining");
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamContinuation.java
@@ -142,7 +142,7 @@
         count++;
         InFlightRequest inFlight = sender.reserve(state);
         try {
-            var continuation = new TargetOrder.Continuation(holder, copyId, events.lastId());
+            var continuation = new ForwardingMetadata.Continuation(holder, copyId, events.lastId());
             Attempt attempt =
                     sender.send(inFlight, AdmissionRank.CONTINUED, Optional.of(continuation), CONTINUE_TIMEOUT);
             ResponseHead head = attempt.head();
--- a/forward/src/main/java/org/verbenatally/forward/StreamSender.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamSender.java
@@ -58,15 +58,15 @@
     Attempt send(
             InFlightRequest inFlight,
             AdmissionRank rank,
-            Optional<TargetOrder.Continuation> continuation,
+            Optional<ForwardingMetadata.Continuation> continuation,
             Duration limit) {
-        var order = new TargetOrder(
+        var metadata = new ForwardingMetadata(
                 inFlight.targetState().target().id(),
                 request.remaining(components.timer().nanos()),
                 rank,
                 request.organisation(),
                 Optional.ofNullable(inFlight.backup()).map(b -> b.target().address()),
                 continuation);
-        return Attempt.start(components, request, caller, inFlight.targetState(), order, limit);
+        return Attempt.start(components, request, caller, inFlight.targetState(), metadata, limit);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/WireCodec.java
+++ b/forward/src/main/java/org/verbenatally/forward/WireCodec.java
@@ -22,7 +22,7 @@
     RequestHead read(HttpServerRequest request);
 
     /** Replaces, in a caller's headers, those that only an instance may set. */
-    void write(TargetOrder order, MultiMap headers);
+    void write(ForwardingMetadata metadata, MultiMap headers);
 
     /** Reads the head of a target's response. */
     ResponseHead read(HttpClientResponse response);
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -40,13 +40,13 @@
     }
 
     @Override
-    public void write(TargetOrder order, MultiMap headers) {
+    public void write(ForwardingMetadata metadata, MultiMap headers) {
         headers.remove(KEY);
-        headers.set(TARGET, order.target().value());
-        headers.set(PATIENCE, Long.toString(order.timeLeft().toMillis()));
-        order.organisation().ifPresent(o -> headers.set(ORGANISATION, o.value()));
-        order.backup().ifPresent(a -> headers.set(BACKUP, a.toString()));
-        order.continuation().ifPresent(c -> {
+        headers.set(TARGET, metadata.target().value());
+        headers.set(PATIENCE, Long.toString(metadata.remaining().toMillis()));
+        metadata.organisation().ifPresent(o -> headers.set(ORGANISATION, o.value()));
+        metadata.backup().ifPresent(a -> headers.set(BACKUP, a.toString()));
+        metadata.continuation().ifPresent(c -> {
             headers.set(COPY, c.holder() + "/" + c.copy());
             c.lastEvent().ifPresent(e -> headers.set(LAST_EVENT, e));
         });
