--- a/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
@@ -83,7 +83,7 @@
     }
 
     /** Applies the complete list as this instance has read it. */
-    public void published(PublishedList list) {
+    public void applyPublished(PublishedList list) {
         List<TargetState> leaving = new ArrayList<>();
         List<PublishedTarget> read = new ArrayList<>();
         synchronized (this) {
@@ -229,7 +229,7 @@
     }
 
     /** Records that the list could not be read. */
-    public synchronized void unreachable(String reason) {
+    public synchronized void onSourceUnreachable(String reason) {
         if (reachable) {
             reachable = false;
             LogEvent.of("directory.unreachable").with("reason", reason).warn(LOG);
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -135,7 +135,7 @@
     /** Publishes one more target, which is avoided while it is published as cold. */
     void publish(String id, ServiceName service, RawTarget target, long coldMs) {
         targets.add(target(id, service, target.address(), false, coldMs));
-        server.directory().published(Targets.list(targets));
+        server.directory().applyPublished(Targets.list(targets));
     }
 
     private static ForwardTarget target(String id, ServiceName service, Address address, boolean leaving, long coldMs) {
@@ -145,7 +145,7 @@
     /** Publishes that a target leaves. */
     void leave(String id) {
         targets.replaceAll(t -> t.id().value().equals(id) ? target(id, t.service(), t.address(), true, 0) : t);
-        server.directory().published(Targets.list(targets));
+        server.directory().applyPublished(Targets.list(targets));
     }
 
     HttpRequest.Builder request(String path, String id) {
--- a/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
@@ -31,7 +31,7 @@
     private final TargetChooser chooser = new TargetChooser(timer, directory, HERE);
 
     private void publish(ForwardTarget... targets) {
-        directory.published(Targets.list(List.of(targets)));
+        directory.applyPublished(Targets.list(List.of(targets)));
     }
 
     private TargetState state(String id) {
--- a/forward/src/test/java/org/verbenatally/forward/TargetDirectoryTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/TargetDirectoryTest.java
@@ -35,7 +35,7 @@
     }
 
     private void publish(ForwardTarget... entries) {
-        directory.published(Targets.list(List.of(entries)));
+        directory.applyPublished(Targets.list(List.of(entries)));
     }
 
     /** Guards against new work for a target that is published as leaving or is no longer published. */
@@ -55,7 +55,7 @@
     @Test
     void lapsedTargetsAreKeptBrieflyAfterListIsReachable() {
         publish(ready("a"), ready("b"));
-        directory.unreachable("down");
+        directory.onSourceUnreachable("down");
         timer.advance(Duration.ofSeconds(8));
         publish(ready("a"));
         assertThat(candidates()).containsExactly("a", "b");
