--- a/forward/src/main/java/org/verbenatally/forward/PublishedList.java
+++ b/forward/src/main/java/org/verbenatally/forward/PublishedList.java
@@ -7,9 +7,9 @@
  * The published list of targets as it was read once.
  *
  * @param revision revision of the source when the read began; targets that are missing had been removed by then
- * @param entries the published targets
+ * @param targets the published targets
  */
-public record PublishedList(long revision, List<Entry> entries) {
+public record PublishedList(long revision, List<Target> targets) {
 
     /**
      * One published target.
@@ -17,15 +17,15 @@
      * @param target its description
      * @param revision revision of the source at which it was last written
      */
-    public record Entry(ForwardTarget target, long revision) {
+    public record Target(ForwardTarget target, long revision) {
         /** Checks that the target is not {@code null}. */
-        public Entry {
+        public Target {
             Objects.requireNonNull(target, "target");
         }
     }
 
-    /** Copies the entries. */
+    /** Copies the list of targets. */
     public PublishedList {
-        entries = List.copyOf(entries);
+        targets = List.copyOf(targets);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
@@ -93,15 +93,15 @@
                 reachableSince = now;
                 readHere.clear();
                 LogEvent.of("directory.reachable")
-                        .with("targets", list.entries().size())
+                        .with("targets", list.targets().size())
                         .info(LOG);
             }
             advanceKnownAsOf(now);
             Set<TargetId> listed = new HashSet<>();
-            for (PublishedList.Entry entry : list.entries()) {
-                listed.add(entry.target().id());
-                updateTarget(entry.target(), entry.revision(), now, leaving);
-                read.add(PublishedTargetCodec.encode(entry.target(), entry.revision()));
+            for (PublishedList.Target published : list.targets()) {
+                listed.add(published.target().id());
+                updateTarget(published.target(), published.revision(), now, leaving);
+                read.add(PublishedTargetCodec.encode(published.target(), published.revision()));
             }
             boolean settled = now - reachableSince >= RETURN_GRACE.toNanos();
             for (TargetState state : states.values()) {
--- a/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
@@ -27,7 +27,7 @@
     private static final Generation GUIDE = new Generation(3_000, 2_000, OptionalLong.of(1_000));
 
     private final ManualTimer timer = new ManualTimer();
-    private final TargetDirectory directory = new TargetDirectory(timer, entries -> {}, () -> {});
+    private final TargetDirectory directory = new TargetDirectory(timer, updates -> {}, () -> {});
     private final TargetChooser chooser = new TargetChooser(timer, directory, HERE);
 
     private void publish(ForwardTarget... targets) {
--- a/forward/src/test/java/org/verbenatally/forward/TargetDirectoryTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/TargetDirectoryTest.java
@@ -34,8 +34,8 @@
                 .toList();
     }
 
-    private void publish(ForwardTarget... entries) {
-        directory.applyPublished(Targets.list(List.of(entries)));
+    private void publish(ForwardTarget... targets) {
+        directory.applyPublished(Targets.list(List.of(targets)));
     }
 
     /** Guards against new work for a target that is published as leaving or is no longer published. */
--- a/forward/src/test/java/org/verbenatally/forward/Targets.java
+++ b/forward/src/test/java/org/verbenatally/forward/Targets.java
@@ -22,7 +22,7 @@
         long revision = REVISION.incrementAndGet();
         return new PublishedList(
                 revision,
-                targets.stream().map(t -> new PublishedList.Entry(t, revision)).toList());
+                targets.stream().map(t -> new PublishedList.Target(t, revision)).toList());
     }
 
     static ForwardTarget ready(String id) {
