--- a/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
@@ -28,7 +28,7 @@
     private static final Duration MAX_CONFIG_WAIT = Duration.ofSeconds(1);
 
     private static final Duration CONFIG_CHECK_INTERVAL = Duration.ofMillis(10);
-    /** Longest wait for the body of a caller that states no patience. */
+    /** Longest wait for the body of a caller that states no timeout. */
     private static final Duration BODY_TIMEOUT = Duration.ofSeconds(10);
 
     private final ForwardComponents components;
@@ -134,7 +134,7 @@
         } catch (IllegalArgumentException e) {
             throw new Rejected(CallerExchange.BAD_REQUEST, e.getMessage());
         }
-        ForwardDeployment initial = awaitDeployment(caller, head.patience().orElse(BODY_TIMEOUT));
+        ForwardDeployment initial = awaitDeployment(caller, head.callerTimeout().orElse(BODY_TIMEOUT));
         checkHead(caller.request(), initial);
         Buffer body = readBody(caller, head, initial);
         ForwardDeployment d = deployment.get().orElse(initial);
@@ -143,9 +143,10 @@
         Optional<OrganisationId> organisation = authenticate(d, route, head);
         ServiceSpec service = d.service(route.service(head.id().hashCode()))
                 .orElseThrow(() -> new Rejected(CallerExchange.UNAVAILABLE, "route names an unknown service"));
-        Duration patience =
-                head.patience().filter(p -> p.compareTo(route.timeout()) < 0).orElse(route.timeout());
-        if (!shutdown.isAccepting(route.retrySafety(), patience)) {
+        Duration timeout = head.callerTimeout()
+                .filter(p -> p.compareTo(route.timeout()) < 0)
+                .orElse(route.timeout());
+        if (!shutdown.isAccepting(route.retrySafety(), timeout)) {
             throw new Rejected(CallerExchange.UNAVAILABLE, "this instance is stopping");
         }
         Fingerprint fingerprint =
@@ -154,23 +155,23 @@
             throw new Rejected(CallerExchange.UNAVAILABLE, "this request crashes its targets", QUARANTINE_RETRY_AFTER);
         }
         ForwardedRequest forwarded =
-                new ForwardedRequest(head, route, service, organisation, body, fingerprint, start + patience.toNanos());
+                new ForwardedRequest(head, route, service, organisation, body, fingerprint, start + timeout.toNanos());
         LogEvent.of("request.accepted")
                 .request(forwarded.id())
                 .with("route", route.name())
                 .with("service", service.name())
                 .with("organisation", organisation.map(Object::toString).orElse(""))
-                .with("patienceMs", patience.toMillis())
+                .with("patienceMs", timeout.toMillis())
                 .with("version", d.version().value())
                 .info(LOG);
         return forwarded;
     }
 
     /**
-     * Waits for the first configuration, for at most half of the caller's patience, so that the caller can still retry.
+     * Waits for the first configuration, for at most half of the timeout of the caller, so that the caller can still retry.
      */
-    private ForwardDeployment awaitDeployment(CallerExchange caller, Duration patience) throws Rejected {
-        long waitEnd = components.timer().nanos() + Math.min(MAX_CONFIG_WAIT.toNanos(), patience.toNanos() / 2);
+    private ForwardDeployment awaitDeployment(CallerExchange caller, Duration timeout) throws Rejected {
+        long waitEnd = components.timer().nanos() + Math.min(MAX_CONFIG_WAIT.toNanos(), timeout.toNanos() / 2);
         while ((deployment.get().isEmpty() || !components.directory().isKnown())
                 && !caller.isGone()
                 && components.timer().nanos() - waitEnd < 0) {
@@ -201,7 +202,7 @@
                     body,
                     d.limits().bodyBytes(),
                     components.bodyMemory(),
-                    head.patience().orElse(BODY_TIMEOUT));
+                    head.callerTimeout().orElse(BODY_TIMEOUT));
         } catch (TimeoutException e) {
             throw new Rejected(CallerExchange.UNAVAILABLE, "body did not arrive in time");
         }
--- a/forward/src/main/java/org/verbenatally/forward/RequestHead.java
+++ b/forward/src/main/java/org/verbenatally/forward/RequestHead.java
@@ -11,7 +11,7 @@
  * @param host host that it names
  * @param path path without query
  * @param credential credential that identifies the caller's organisation
- * @param patience how long the caller waits
+ * @param callerTimeout how long the caller waits for the response, if it states that
  * @param generation the generation that it asks for, if it asks for one
  */
 public record RequestHead(
@@ -19,7 +19,7 @@
         String host,
         String path,
         Optional<String> credential,
-        Optional<Duration> patience,
+        Optional<Duration> callerTimeout,
         Optional<Generation> generation) {
 
     /** Checks that id, host and path are not {@code null}. */
--- a/forward/src/main/java/org/verbenatally/forward/Shutdown.java
+++ b/forward/src/main/java/org/verbenatally/forward/Shutdown.java
@@ -67,9 +67,9 @@
      * outlives it, whatever its target does; generations are accepted until the load balancer has noticed.
      *
      * @param retrySafety retry safety of the request
-     * @param patience longest time until its response
+     * @param timeout longest time until its response
      */
-    boolean isAccepting(RetrySafety retrySafety, Duration patience) {
+    boolean isAccepting(RetrySafety retrySafety, Duration timeout) {
         if (!stopping) {
             return true;
         }
@@ -79,7 +79,7 @@
         Duration elapsed = elapsed();
         return retrySafety == RetrySafety.GENERATION
                 ? elapsed.toNanos() < ACCEPTING_SHARE * grace.toNanos()
-                : elapsed.plus(patience).compareTo(grace.minus(EXIT_TIME)) < 0;
+                : elapsed.plus(timeout).compareTo(grace.minus(EXIT_TIME)) < 0;
     }
 
     /** Starts the shutdown; completes when the process may end. */
--- a/forward/src/test/java/org/verbenatally/forward/EndlessResponseTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/EndlessResponseTest.java
@@ -22,7 +22,7 @@
 
 /** Responses that do not end until the client closes the connection. */
 class EndlessResponseTest {
-    /** Far beyond the patience of the callers, which is 3 s; only a failing test waits this long. */
+    /** Far beyond the timeout of the callers, which is 3 s; only a failing test waits this long. */
     private static final long BOUND_SECONDS = 20;
 
     /** The bytes that are read of a head or an event are bounded; the rest of this limit may be in socket buffers. */
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -151,7 +151,7 @@
     HttpRequest.Builder request(String path, String id) {
         return HttpRequest.newBuilder(URI.create("http://" + callers + path))
                 .header(TestCodec.ID, id)
-                .header(TestCodec.PATIENCE, "3000");
+                .header(TestCodec.CALLER_TIMEOUT, "3000");
     }
 
     HttpResponse<String> send(HttpRequest request) throws IOException, InterruptedException {
--- a/forward/src/test/java/org/verbenatally/forward/ForwardProtocolTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardProtocolTest.java
@@ -37,7 +37,7 @@
 
     private String head(String method, String id, String framing) {
         return method + " /once/x HTTP/1.1\r\nHost: " + fixture.callers.host() + "\r\n" + TestCodec.ID + ": " + id
-                + "\r\n" + TestCodec.PATIENCE + ": 3000\r\n" + framing + "\r\n";
+                + "\r\n" + TestCodec.CALLER_TIMEOUT + ": 3000\r\n" + framing + "\r\n";
     }
 
     /** Guards against request smuggling: a caller hides a request in the body of another one. */
--- a/forward/src/test/java/org/verbenatally/forward/GracefulStopTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/GracefulStopTest.java
@@ -10,9 +10,9 @@
 
 class GracefulStopTest {
 
-    private static String request(ForwardFixture fixture, String id, int patienceMs) {
+    private static String request(ForwardFixture fixture, String id, int timeoutMs) {
         return "GET /once/x HTTP/1.1\r\nHost: " + fixture.callers.host() + "\r\n" + TestCodec.ID + ": " + id + "\r\n"
-                + TestCodec.PATIENCE + ": " + patienceMs + "\r\n\r\n";
+                + TestCodec.CALLER_TIMEOUT + ": " + timeoutMs + "\r\n\r\n";
     }
 
     /**
--- a/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ShutdownTest.java
@@ -8,13 +8,13 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 class ShutdownTest {
-    private static final Duration PATIENCE = Duration.ofMillis(1_200);
+    private static final Duration CALLER_TIMEOUT = Duration.ofMillis(1_200);
 
     private final ManualTimer timer = new ManualTimer();
     private final Shutdown shutdown = new Shutdown(timer, Duration.ofSeconds(8));
 
     private boolean isAcceptingCall() {
-        return shutdown.isAccepting(RetrySafety.IDEMPOTENT, PATIENCE);
+        return shutdown.isAccepting(RetrySafety.IDEMPOTENT, CALLER_TIMEOUT);
     }
 
     /** Guards against accepting a call shortly before the end of the process, which cuts it off. */
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -14,7 +14,7 @@
 /** Codec for tests, with header names of its own. */
 final class TestCodec implements WireCodec {
     static final String ID = "Test-Id";
-    static final String PATIENCE = "Test-Patience";
+    static final String CALLER_TIMEOUT = "Test-Patience";
     static final String TOKENS = "Test-Tokens";
     static final String KEY = "Test-Key";
     static final String TARGET = "Test-Target";
@@ -33,7 +33,7 @@
                 request.authority().host(),
                 request.path(),
                 Optional.ofNullable(request.getHeader(KEY)),
-                Optional.ofNullable(request.getHeader(PATIENCE)).map(v -> Duration.ofMillis(Long.parseLong(v))),
+                Optional.ofNullable(request.getHeader(CALLER_TIMEOUT)).map(v -> Duration.ofMillis(Long.parseLong(v))),
                 tokens == null
                         ? Optional.empty()
                         : Optional.of(new Generation(100, Long.parseLong(tokens), OptionalLong.empty())));
@@ -43,7 +43,7 @@
     public void write(ForwardingMetadata metadata, MultiMap headers) {
         headers.remove(KEY);
         headers.set(TARGET, metadata.target().value());
-        headers.set(PATIENCE, Long.toString(metadata.remaining().toMillis()));
+        headers.set(CALLER_TIMEOUT, Long.toString(metadata.remaining().toMillis()));
         metadata.organisation().ifPresent(o -> headers.set(ORGANISATION, o.value()));
         metadata.backup().ifPresent(a -> headers.set(BACKUP, a.toString()));
         metadata.continuation().ifPresent(c -> {
