--- a/forward/src/main/java/org/verbenatally/forward/ServiceSpec.java
+++ b/forward/src/main/java/org/verbenatally/forward/ServiceSpec.java
@@ -18,11 +18,12 @@
      * What the model engines of a service have in common.
      *
      * @param memoryTokens key-value memory, in tokens
-     * @param copies whether a running generation can be copied to another engine
-     * @param backups whether an engine can keep a backup of a running generation up to date at another engine
+     * @param supportsCopies whether a running generation can be copied to another engine
+     * @param supportsBackups whether an engine can keep a backup of a running generation up to date at another engine
      * @param tokensPerEvent tokens in one event of a stream
      */
-    public record EngineTraits(long memoryTokens, boolean copies, boolean backups, int tokensPerEvent) {}
+    public record EngineTraits(
+            long memoryTokens, boolean supportsCopies, boolean supportsBackups, int tokensPerEvent) {}
 
     /** Checks that no component is {@code null}. */
     public ServiceSpec {
--- a/forward/src/main/java/org/verbenatally/forward/StreamMigration.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamMigration.java
@@ -85,7 +85,7 @@
     void start(StreamSegment segment) {
         boolean copySupported = request.service()
                 .engine()
-                .filter(ServiceSpec.EngineTraits::copies)
+                .filter(ServiceSpec.EngineTraits::supportsCopies)
                 .isPresent();
         if (!copying && copyId == null && copySupported) {
             copying = true;
--- a/forward/src/main/java/org/verbenatally/forward/StreamSender.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamSender.java
@@ -35,7 +35,7 @@
     InFlightRequest reserve(TargetState state) {
         boolean keepsBackup = request.service()
                         .engine()
-                        .filter(ServiceSpec.EngineTraits::backups)
+                        .filter(ServiceSpec.EngineTraits::supportsBackups)
                         .isPresent()
                 && generation.isLong();
         TargetState backup = keepsBackup
