--- a/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
@@ -22,7 +22,7 @@
         TargetChooser chooser,
         WaitQueue waitQueue,
         TargetClient client,
-        WireCodec codec,
+        HttpMessageCodec codec,
         RetryAllowance retryAllowance,
         CrashDetector crashDetector,
         BodyMemory bodyMemory,
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -56,7 +56,7 @@
      * @param timer its timer service
      * @param codec translates the heads of messages
      */
-    public ForwardServer(ForwardOptions options, Vertx vertx, TimerService timer, WireCodec codec) {
+    public ForwardServer(ForwardOptions options, Vertx vertx, TimerService timer, HttpMessageCodec codec) {
         this.options = Objects.requireNonNull(options, "options");
         this.vertx = Objects.requireNonNull(vertx, "vertx");
         this.timer = Objects.requireNonNull(timer, "timer");
--- a/forward/src/main/java/org/verbenatally/forward/WireCodec.java
+++ b/forward/src/main/java/org/verbenatally/forward/HttpMessageCodec.java
@@ -9,10 +9,10 @@
 import org.verbenatally.core.Address;
 
 /**
- * Translates between the heads of HTTP messages and the values that an instance decides on. Headers that no method
- * mentions are forwarded unchanged.
+ * Translates between HTTP messages and the values that an instance decides on. Of the messages of callers and of
+ * responses to them only the heads are translated; headers that no method mentions are forwarded unchanged.
  */
-public interface WireCodec {
+public interface HttpMessageCodec {
 
     /**
      * Reads the head of a caller's request.
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -12,7 +12,7 @@
 import org.verbenatally.core.Address;
 
 /** Codec for tests, with header names of its own. */
-final class TestCodec implements WireCodec {
+final class TestCodec implements HttpMessageCodec {
     static final String ID = "Test-Id";
     static final String CALLER_TIMEOUT = "Test-Patience";
     static final String TOKENS = "Test-Tokens";
