--- a/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
@@ -144,7 +144,7 @@
         ServiceSpec service = d.service(route.service(head.id().hashCode()))
                 .orElseThrow(() -> new Rejected(CallerExchange.UNAVAILABLE, "route names an unknown service"));
         Duration timeout = head.callerTimeout()
-                .filter(p -> p.compareTo(route.timeout()) < 0)
+                .filter(t -> t.compareTo(route.timeout()) < 0)
                 .orElse(route.timeout());
         if (!shutdown.isAccepting(route.retrySafety(), timeout)) {
             throw new Rejected(CallerExchange.UNAVAILABLE, "this instance is stopping");
@@ -168,7 +168,8 @@
     }
 
     /**
-     * Waits for the first configuration, for at most half of the timeout of the caller, so that the caller can still retry.
+     * Waits for the first configuration, for at most half of the timeout of the caller, so that the caller can still
+     * retry.
      */
     private ForwardDeployment awaitDeployment(CallerExchange caller, Duration timeout) throws Rejected {
         long waitEnd = components.timer().nanos() + Math.min(MAX_CONFIG_WAIT.toNanos(), timeout.toNanos() / 2);
--- a/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardMetrics.java
@@ -9,7 +9,7 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
-/** Counters and latency histograms of a forwarding instance. Labels are bounded: outcomes and levels of retry safety. */
+/** Counters and latency histograms of a forwarding instance. Labels are bounded: outcome and retry safety. */
 public final class ForwardMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
--- a/forward/src/main/java/org/verbenatally/forward/ForwardingMetadata.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardingMetadata.java
@@ -12,7 +12,7 @@
  * Metadata that an instance adds to a request when it sends the request to a target.
  *
  * @param target the only target that may run the request
- * @param remaining time in which the response is of use
+ * @param remaining time until the response is of no more use
  * @param rank admission rank among the generations of an engine
  * @param organisation organisation of the caller
  * @param backup engine that keeps a backup of the generation
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -29,7 +29,7 @@
 import org.verbenatally.peer.PeerTimings;
 import org.verbenatally.time.SystemTimerService;
 
-/** A forwarding instance on loopback with raw targets and one route for each level of retry safety. */
+/** A forwarding instance on loopback with raw targets and one route for each value of {@link RetrySafety}. */
 final class ForwardFixture implements AutoCloseable {
     static final ServiceName CALLS = new ServiceName("calls");
     static final ServiceName ENGINES = new ServiceName("engines");
--- a/forward/src/test/java/org/verbenatally/forward/ReadRateTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/ReadRateTest.java
@@ -57,7 +57,8 @@
 
     /**
      * Pattern: the watches of all instances are cut while a version is published, as on large scale-1 (1a15df65).
-     * Guards against a fleet in which each instance waits for its scheduled read, and none reads the version for seconds.
+     * Guards against a fleet in which each instance waits for its scheduled read, and none reads the version for
+     * seconds.
      */
     @Test
     void configurationIsRetriedWithinOneSecond() {
