--- a/forward/src/main/java/org/verbenatally/forward/ForwardDeployment.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardDeployment.java
@@ -92,7 +92,7 @@
         return Optional.ofNullable(services.get(service));
     }
 
-    /** Returns whether requests need a credential, unless their route is open. */
+    /** Returns whether requests need a credential, unless their route allows anonymous callers. */
     public boolean needsCredential() {
         return !credentials.isEmpty();
     }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
@@ -221,7 +221,7 @@
     private static Optional<OrganisationId> authenticate(ForwardDeployment d, Route route, RequestHead head)
             throws Rejected {
         Optional<OrganisationId> organisation = head.credential().flatMap(d::organisation);
-        if (organisation.isEmpty() && d.needsCredential() && !route.open()) {
+        if (organisation.isEmpty() && d.needsCredential() && !route.allowsAnonymous()) {
             throw new Rejected(CallerExchange.UNAUTHORIZED, "credential is missing or unknown");
         }
         return organisation;
--- a/forward/src/main/java/org/verbenatally/forward/Route.java
+++ b/forward/src/main/java/org/verbenatally/forward/Route.java
@@ -20,8 +20,8 @@
  * @param priority rank of its requests, 0 first
  * @param shares services and their weights; at least one
  * @param maxAttempts maximum number of targets that one request may run on
- * @param open whether no credential is needed
- * @param gapTarget longest pause between events that callers expect; empty if the response is not a series of events
+ * @param allowsAnonymous whether callers need no credential
+ * @param eventGapObjective longest pause between events that callers expect; empty if the response is not a series of events
  */
 public record Route(
         RouteName name,
@@ -33,8 +33,8 @@
         int priority,
         List<Share> shares,
         int maxAttempts,
-        boolean open,
-        Optional<Duration> gapTarget) {
+        boolean allowsAnonymous,
+        Optional<Duration> eventGapObjective) {
 
     /**
      * Share of a route's requests that goes to one service.
--- a/forward/src/main/java/org/verbenatally/forward/StreamRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamRun.java
@@ -30,7 +30,7 @@
 
     private static final Duration MIN_REMAINING = Duration.ofMillis(20);
     /** Gap target of routes that do not configure one. */
-    private static final Duration DEFAULT_GAP_TARGET = Duration.ofMillis(500);
+    private static final Duration DEFAULT_EVENT_GAP_OBJECTIVE = Duration.ofMillis(500);
 
     private final ForwardComponents components;
     private final ForwardedRequest request;
@@ -247,8 +247,9 @@
     }
 
     private End forwardSegment() {
-        Duration gapTarget = request.route().gapTarget().orElse(DEFAULT_GAP_TARGET);
-        long silenceTimeout = gapTarget.multipliedBy(SILENCE_TIMEOUT_GAPS).toNanos();
+        Duration eventGapObjective = request.route().eventGapObjective().orElse(DEFAULT_EVENT_GAP_OBJECTIVE);
+        long silenceTimeout =
+                eventGapObjective.multipliedBy(SILENCE_TIMEOUT_GAPS).toNanos();
         while (true) {
             if (caller.isGone()) {
                 return End.CALLER_LEFT;
