--- a/forward/src/main/java/org/verbenatally/forward/ForwardOptions.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardOptions.java
@@ -10,20 +10,20 @@
 /**
  * Options of a forwarding instance.
  *
- * @param callers address that callers connect to
- * @param readiness address at which the load balancer asks whether the instance is ready
+ * @param callerAddress address that callers connect to
+ * @param readinessAddress address at which the load balancer asks whether the instance is ready
  * @param readinessPath path of that check
- * @param metrics address at which metrics are served; empty if they are not served
+ * @param metricsAddress address at which metrics are served; empty if they are not served
  * @param peers options of the peer network
  * @param grace time between the request to stop and the end of the process
  * @param drain time within which a leaving target must get no new work
  * @param retryRule limit of retries
  */
 public record ForwardOptions(
-        Address callers,
-        Address readiness,
+        Address callerAddress,
+        Address readinessAddress,
         String readinessPath,
-        Optional<Address> metrics,
+        Optional<Address> metricsAddress,
         PeerOptions peers,
         Duration grace,
         Duration drain,
@@ -31,10 +31,10 @@
 
     /** Checks that no component is {@code null}. */
     public ForwardOptions {
-        Objects.requireNonNull(callers, "callers");
-        Objects.requireNonNull(readiness, "readiness");
+        Objects.requireNonNull(callerAddress, "callerAddress");
+        Objects.requireNonNull(readinessAddress, "readinessAddress");
         Objects.requireNonNull(readinessPath, "readinessPath");
-        Objects.requireNonNull(metrics, "metrics");
+        Objects.requireNonNull(metricsAddress, "metricsAddress");
         Objects.requireNonNull(peers, "peers");
         Objects.requireNonNull(grace, "grace");
         Objects.requireNonNull(drain, "drain");
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -127,7 +127,7 @@
                 .info(LOG));
         LogEvent.of("instance.started")
                 .with("instance", options.peers().instance())
-                .with("callers", options.callers())
+                .with("callers", options.callerAddress())
                 .info(LOG);
     }
 
@@ -210,7 +210,9 @@
                         request.pause();
                         handler.handle(request);
                     })
-                    .listen(options.callers().port(), options.callers().host());
+                    .listen(
+                            options.callerAddress().port(),
+                            options.callerAddress().host());
         }
     }
 
@@ -219,14 +221,16 @@
         public Future<?> start() {
             Future<?> ready = vertx.createHttpServer()
                     .requestHandler(this::respond)
-                    .listen(options.readiness().port(), options.readiness().host());
-            Future<?> scrape = options.metrics().isEmpty()
+                    .listen(
+                            options.readinessAddress().port(),
+                            options.readinessAddress().host());
+            Future<?> scrape = options.metricsAddress().isEmpty()
                     ? Future.succeededFuture()
                     : vertx.createHttpServer()
                             .requestHandler(request -> request.response().end(metrics.scrape()))
                             .listen(
-                                    options.metrics().get().port(),
-                                    options.metrics().get().host());
+                                    options.metricsAddress().get().port(),
+                                    options.metricsAddress().get().host());
             return Future.all(ready, scrape);
         }
 
