--- a/forward/src/main/java/org/verbenatally/forward/ForwardingMetadata.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardingMetadata.java
@@ -30,10 +30,10 @@
      * Where a generation continues from.
      *
      * @param holder engine that holds the copy
-     * @param copy id of the copy there
+     * @param copyId id of the copy there
      * @param lastEvent id of the last event that the caller has received; empty if none
      */
-    public record Continuation(Address holder, String copy, Optional<String> lastEvent) {}
+    public record Continuation(Address holder, String copyId, Optional<String> lastEvent) {}
 
     /** Checks that the target and the remaining time are not {@code null}. */
     public ForwardingMetadata {
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -47,7 +47,7 @@
         metadata.organisation().ifPresent(o -> headers.set(ORGANISATION, o.value()));
         metadata.backup().ifPresent(a -> headers.set(BACKUP, a.toString()));
         metadata.continuation().ifPresent(c -> {
-            headers.set(COPY, c.holder() + "/" + c.copy());
+            headers.set(COPY, c.holder() + "/" + c.copyId());
             c.lastEvent().ifPresent(e -> headers.set(LAST_EVENT, e));
         });
     }
