--- a/forward/src/main/java/org/verbenatally/forward/Attempt.java
+++ b/forward/src/main/java/org/verbenatally/forward/Attempt.java
@@ -19,7 +19,8 @@
  * @param response the response, paused
  * @param head the decoded head of the response
  */
-record Attempt(TargetState targetState, HttpClientRequest clientRequest, HttpClientResponse response, AnswerHead head) {
+record Attempt(
+        TargetState targetState, HttpClientRequest clientRequest, HttpClientResponse response, ResponseHead head) {
     private static final Logger LOG = Logger.getLogger(Attempt.class);
 
     /**
@@ -29,7 +30,7 @@
      * @param request the request
      * @param caller its caller; the send is cancelled when the caller leaves
      * @param state state of the target
-     * @param order what is added to the request
+     * @param metadata what is added to the request
      * @param limit longest wait for the head
      * @throws StepException with outcome {@code NOT_RUN} if nothing was sent, {@code UNKNOWN} if the target may run it
      */
@@ -38,7 +39,7 @@
             ForwardedRequest request,
             CallerExchange caller,
             TargetState state,
-            TargetOrder order,
+            ForwardingMetadata metadata,
             Duration limit) {
         ForwardTarget target = state.target();
         HttpClientRequest clientRequest;
@@ -61,16 +62,16 @@
             throw new StepException(Step.SEND, target.id().value(), Outcome.NOT_RUN, reason);
         }
         Headers.copyEndToEnd(caller.request().headers(), clientRequest.headers());
-        components.codec().write(order, clientRequest.headers());
+        components.codec().write(metadata, clientRequest.headers());
         LogEvent.of("request.sent")
                 .request(request.id())
                 .with("target", target.id())
-                .with("leftMs", order.timeLeft().toMillis())
+                .with("leftMs", metadata.remaining().toMillis())
                 .with("ownRequests", state.ownRequests())
                 .with("peerRequests", state.peerRequests())
                 .with("tokens", state.ownTokens() + state.peerTokens())
-                .with("backup", order.backup().map(Object::toString).orElse(""))
-                .with("continues", order.continuation().isPresent())
+                .with("backup", metadata.backup().map(Object::toString).orElse(""))
+                .with("continues", metadata.continuation().isPresent())
                 .info(LOG);
         try {
             HttpClientResponse response =
--- a/forward/src/main/java/org/verbenatally/forward/CallRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallRun.java
@@ -86,7 +86,7 @@
     }
 
     private boolean mayRunAgain() {
-        return request.route().repetition() == Repetition.IDEMPOTENT
+        return request.route().retrySafety() == RetrySafety.IDEMPOTENT
                 && runs < request.route().maxAttempts();
     }
 
@@ -97,14 +97,14 @@
                 new InFlightRequest(request.id(), request.fingerprint(), state, null, null, () -> {});
         try {
             sends++;
-            var order = new TargetOrder(
+            var metadata = new ForwardingMetadata(
                     state.target().id(),
                     remaining,
-                    Urgency.NORMAL,
+                    AdmissionRank.NORMAL,
                     request.organisation(),
                     Optional.empty(),
                     Optional.empty());
-            Attempt attempt = Attempt.start(components, request, caller, state, order, responseTimeout(remaining));
+            Attempt attempt = Attempt.start(components, request, caller, state, metadata, responseTimeout(remaining));
             return onResponse(attempt);
         } catch (StepException e) {
             return onFailure(state, e);
@@ -114,7 +114,7 @@
     }
 
     private Duration responseTimeout(Duration remaining) {
-        boolean hasAnotherRun = request.route().repetition() == Repetition.IDEMPOTENT
+        boolean hasAnotherRun = request.route().retrySafety() == RetrySafety.IDEMPOTENT
                 && runs + 1 < request.route().maxAttempts();
         if (!hasAnotherRun) {
             return remaining;
@@ -145,7 +145,7 @@
     }
 
     private Optional<String> onResponse(Attempt attempt) {
-        AnswerHead head = attempt.head();
+        ResponseHead head = attempt.head();
         TargetState state = attempt.targetState();
         if (head.isUntrusted(request.id())) {
             attempt.cancel();
--- a/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
@@ -22,8 +22,8 @@
         TargetChooser chooser,
         WaitQueue waitQueue,
         TargetClient client,
-        WireCodec codec,
-        RepeatAllowance retryAllowance,
+        HttpMessageCodec codec,
+        RetryAllowance retryAllowance,
         CrashDetector crashDetector,
         BodyMemory bodyMemory,
         ForwardMetrics metrics) {}
--- a/forward/src/main/java/org/verbenatally/forward/WireCodec.java
+++ b/forward/src/main/java/org/verbenatally/forward/HttpMessageCodec.java
@@ -9,10 +9,10 @@
 import org.verbenatally.core.Address;
 
 /**
- * Translates between the heads of HTTP messages and the values that an instance decides on. Headers that no method
- * mentions are forwarded unchanged.
+ * Translates between HTTP messages and the values that an instance decides on. Of the messages of callers and of
+ * responses to them only the heads are translated; headers that no method mentions are forwarded unchanged.
  */
-public interface WireCodec {
+public interface HttpMessageCodec {
 
     /**
      * Reads the head of a caller's request.
@@ -22,19 +22,19 @@
     RequestHead read(HttpServerRequest request);
 
     /** Replaces, in a caller's headers, those that only an instance may set. */
-    void write(TargetOrder order, MultiMap headers);
+    void write(ForwardingMetadata metadata, MultiMap headers);
 
     /** Reads the head of a target's response. */
-    AnswerHead read(HttpClientResponse response);
+    ResponseHead read(HttpClientResponse response);
 
     /**
-     * Returns the call that copies a running generation to another engine.
+     * Returns the request that copies a running generation to another engine.
      *
      * @param requestId id of the request that asked for the generation
      * @param destination engine that receives the copy
      */
-    CopyCall copy(String requestId, Address destination);
+    CopyRequest copyRequest(String requestId, Address destination);
 
-    /** Returns the id of a copy from the response to such a call, or empty if there is none. */
-    Optional<String> readCopy(int status, Buffer body);
+    /** Returns the id of a copy from the response to such a request, or empty if there is none. */
+    Optional<String> readCopyResponse(int status, Buffer body);
 }
--- a/forward/src/main/java/org/verbenatally/forward/Route.java
+++ b/forward/src/main/java/org/verbenatally/forward/Route.java
@@ -14,27 +14,27 @@
  * @param name its name
  * @param host host that requests name
  * @param pathPrefix start of the path; begins and ends with a slash
- * @param repetition whether a request may be sent again
+ * @param retrySafety whether a request may be sent again
  * @param timeout longest time that a caller waits for the end of the response
  * @param objective time to the response, or to its first event, that callers expect
  * @param priority rank of its requests, 0 first
  * @param shares services and their weights; at least one
  * @param maxAttempts maximum number of targets that one request may run on
- * @param open whether no credential is needed
- * @param gapTarget longest pause between events that callers expect; empty if the response is not a series of events
+ * @param allowsAnonymous whether callers need no credential
+ * @param eventGapObjective longest pause between events that callers expect; empty if the response is not a series of events
  */
 public record Route(
         RouteName name,
         String host,
         String pathPrefix,
-        Repetition repetition,
+        RetrySafety retrySafety,
         Duration timeout,
         Duration objective,
         int priority,
         List<Share> shares,
         int maxAttempts,
-        boolean open,
-        Optional<Duration> gapTarget) {
+        boolean allowsAnonymous,
+        Optional<Duration> eventGapObjective) {
 
     /**
      * Share of a route's requests that goes to one service.
@@ -53,7 +53,7 @@
     public Route {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(host, "host");
-        Objects.requireNonNull(repetition, "repetition");
+        Objects.requireNonNull(retrySafety, "retrySafety");
         Objects.requireNonNull(timeout, "timeout");
         Objects.requireNonNull(objective, "objective");
         shares = List.copyOf(shares);
--- a/forward/src/main/java/org/verbenatally/forward/StreamRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamRun.java
@@ -30,7 +30,7 @@
 
     private static final Duration MIN_REMAINING = Duration.ofMillis(20);
     /** Gap target of routes that do not configure one. */
-    private static final Duration DEFAULT_GAP_TARGET = Duration.ofMillis(500);
+    private static final Duration DEFAULT_EVENT_GAP_OBJECTIVE = Duration.ofMillis(500);
 
     private final ForwardComponents components;
     private final ForwardedRequest request;
@@ -43,7 +43,7 @@
     private final StreamContinuation continuation;
     private final Set<TargetId> tried = new HashSet<>();
     private final EventSplitter events = new EventSplitter();
-    private Urgency urgency = Urgency.NORMAL;
+    private AdmissionRank rank = AdmissionRank.NORMAL;
     private int sends;
     private long chunksForwarded;
     private long firstChunkNanos;
@@ -120,7 +120,7 @@
             if (!components.retryAllowance().tryAcquire(request.service().name(), sends)) {
                 return refuse("no repeat allowed");
             }
-            urgency = admitted.get().urgency();
+            rank = admitted.get().rank();
             Optional<String> outcome = sendTo(admitted.get().targetState());
             if (outcome.isPresent()) {
                 return outcome.get();
@@ -152,7 +152,7 @@
             sends++;
             Attempt attempt = sender.send(
                     inFlight,
-                    urgency,
+                    rank,
                     Optional.empty(),
                     request.remaining(components.timer().nanos()));
             // A refusal that belongs to another request says nothing about this one, which may be running.
@@ -201,7 +201,7 @@
             End end = forwardSegment();
             switch (end) {
                 case COMPLETE -> {
-                    AnswerHead head = segment.attempt().head();
+                    ResponseHead head = segment.attempt().head();
                     segment.targetState()
                             .recordOutcome(
                                     head.isServerError(), components.timer().nanos());
@@ -247,8 +247,9 @@
     }
 
     private End forwardSegment() {
-        Duration gapTarget = request.route().gapTarget().orElse(DEFAULT_GAP_TARGET);
-        long silenceTimeout = gapTarget.multipliedBy(SILENCE_TIMEOUT_GAPS).toNanos();
+        Duration eventGapObjective = request.route().eventGapObjective().orElse(DEFAULT_EVENT_GAP_OBJECTIVE);
+        long silenceTimeout =
+                eventGapObjective.multipliedBy(SILENCE_TIMEOUT_GAPS).toNanos();
         while (true) {
             if (caller.isGone()) {
                 return End.CALLER_LEFT;
--- a/forward/src/main/java/org/verbenatally/forward/StreamSender.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamSender.java
@@ -35,7 +35,7 @@
     InFlightRequest reserve(TargetState state) {
         boolean keepsBackup = request.service()
                         .engine()
-                        .filter(ServiceSpec.EngineTraits::backups)
+                        .filter(ServiceSpec.EngineTraits::supportsBackups)
                         .isPresent()
                 && generation.isLong();
         TargetState backup = keepsBackup
@@ -57,16 +57,16 @@
      */
     Attempt send(
             InFlightRequest inFlight,
-            Urgency urgency,
-            Optional<TargetOrder.Continuation> continuation,
+            AdmissionRank rank,
+            Optional<ForwardingMetadata.Continuation> continuation,
             Duration limit) {
-        var order = new TargetOrder(
+        var metadata = new ForwardingMetadata(
                 inFlight.targetState().target().id(),
                 request.remaining(components.timer().nanos()),
-                urgency,
+                rank,
                 request.organisation(),
                 Optional.ofNullable(inFlight.backup()).map(b -> b.target().address()),
                 continuation);
-        return Attempt.start(components, request, caller, inFlight.targetState(), order, limit);
+        return Attempt.start(components, request, caller, inFlight.targetState(), metadata, limit);
     }
 }
--- a/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetDirectory.java
@@ -83,7 +83,7 @@
     }
 
     /** Applies the complete list as this instance has read it. */
-    public void published(PublishedList list) {
+    public void applyPublished(PublishedList list) {
         List<TargetState> leaving = new ArrayList<>();
         List<PublishedTarget> read = new ArrayList<>();
         synchronized (this) {
@@ -93,15 +93,15 @@
                 reachableSince = now;
                 readHere.clear();
                 LogEvent.of("directory.reachable")
-                        .with("targets", list.entries().size())
+                        .with("targets", list.targets().size())
                         .info(LOG);
             }
             advanceKnownAsOf(now);
             Set<TargetId> listed = new HashSet<>();
-            for (PublishedList.Entry entry : list.entries()) {
-                listed.add(entry.target().id());
-                updateTarget(entry.target(), entry.revision(), now, leaving);
-                read.add(PublishedTargetCodec.encode(entry.target(), entry.revision()));
+            for (PublishedList.Target published : list.targets()) {
+                listed.add(published.target().id());
+                updateTarget(published.target(), published.revision(), now, leaving);
+                read.add(PublishedTargetCodec.encode(published.target(), published.revision()));
             }
             boolean settled = now - reachableSince >= RETURN_GRACE.toNanos();
             for (TargetState state : states.values()) {
@@ -229,7 +229,7 @@
     }
 
     /** Records that the list could not be read. */
-    public synchronized void unreachable(String reason) {
+    public synchronized void onSourceUnreachable(String reason) {
         if (reachable) {
             reachable = false;
             LogEvent.of("directory.unreachable").with("reason", reason).warn(LOG);
--- a/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
+++ b/forward/src/test/java/org/verbenatally/forward/ForwardFixture.java
@@ -29,7 +29,7 @@
 import org.verbenatally.peer.PeerTimings;
 import org.verbenatally.time.SystemTimerService;
 
-/** A forwarding instance on loopback with raw targets and one route for each kind of repetition. */
+/** A forwarding instance on loopback with raw targets and one route for each value of {@link RetrySafety}. */
 final class ForwardFixture implements AutoCloseable {
     static final ServiceName CALLS = new ServiceName("calls");
     static final ServiceName ENGINES = new ServiceName("engines");
@@ -60,8 +60,8 @@
         server.start((source, body) -> deployment.get());
     }
 
-    private static RepeatAllowance.Rule rule() {
-        return new RepeatAllowance.Rule(0.2, Duration.ofSeconds(10), 50);
+    private static RetryAllowance.Rule rule() {
+        return new RetryAllowance.Rule(0.2, Duration.ofSeconds(10), 50);
     }
 
     private static PeerOptions peers() throws IOException {
@@ -97,9 +97,9 @@
         deployment.set(new ForwardDeployment(
                 new ConfigVersion(version),
                 List.of(
-                        route("once", Repetition.AT_MOST_ONCE, CALLS, 1),
-                        route("repeat", Repetition.IDEMPOTENT, CALLS, 2),
-                        route("stream", Repetition.GENERATION, ENGINES, 1)),
+                        route("once", RetrySafety.AT_MOST_ONCE, CALLS, 1),
+                        route("repeat", RetrySafety.IDEMPOTENT, CALLS, 2),
+                        route("stream", RetrySafety.GENERATION, ENGINES, 1)),
                 List.of(
                         new ServiceSpec(CALLS, 100, Optional.empty()),
                         new ServiceSpec(ENGINES, 100, Optional.of(engine))),
@@ -112,19 +112,19 @@
         }
     }
 
-    private Route route(String name, Repetition repetition, ServiceName service, int attempts) {
+    private Route route(String name, RetrySafety retrySafety, ServiceName service, int attempts) {
         return new Route(
                 new RouteName(name),
                 callers.host(),
                 "/" + name + "/",
-                repetition,
+                retrySafety,
                 TIMEOUT,
                 Duration.ofMillis(200),
                 0,
                 List.of(new Route.Share(service, 1)),
                 attempts,
                 false,
-                repetition == Repetition.GENERATION ? Optional.of(Duration.ofMillis(200)) : Optional.empty());
+                retrySafety == RetrySafety.GENERATION ? Optional.of(Duration.ofMillis(200)) : Optional.empty());
     }
 
     /** Publishes one more target. */
@@ -135,7 +135,7 @@
     /** Publishes one more target, which is avoided while it is published as cold. */
     void publish(String id, ServiceName service, RawTarget target, long coldMs) {
         targets.add(target(id, service, target.address(), false, coldMs));
-        server.directory().published(Targets.list(targets));
+        server.directory().applyPublished(Targets.list(targets));
     }
 
     private static ForwardTarget target(String id, ServiceName service, Address address, boolean leaving, long coldMs) {
@@ -145,13 +145,13 @@
     /** Publishes that a target leaves. */
     void leave(String id) {
         targets.replaceAll(t -> t.id().value().equals(id) ? target(id, t.service(), t.address(), true, 0) : t);
-        server.directory().published(Targets.list(targets));
+        server.directory().applyPublished(Targets.list(targets));
     }
 
     HttpRequest.Builder request(String path, String id) {
         return HttpRequest.newBuilder(URI.create("http://" + callers + path))
                 .header(TestCodec.ID, id)
-                .header(TestCodec.PATIENCE, "3000");
+                .header(TestCodec.CALLER_TIMEOUT, "3000");
     }
 
     HttpResponse<String> send(HttpRequest request) throws IOException, InterruptedException {
--- a/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/TargetChooserTest.java
@@ -27,11 +27,11 @@
     private static final Generation GUIDE = new Generation(3_000, 2_000, OptionalLong.of(1_000));
 
     private final ManualTimer timer = new ManualTimer();
-    private final TargetDirectory directory = new TargetDirectory(timer, entries -> {}, () -> {});
+    private final TargetDirectory directory = new TargetDirectory(timer, updates -> {}, () -> {});
     private final TargetChooser chooser = new TargetChooser(timer, directory, HERE);
 
     private void publish(ForwardTarget... targets) {
-        directory.published(Targets.list(List.of(targets)));
+        directory.applyPublished(Targets.list(List.of(targets)));
     }
 
     private TargetState state(String id) {
--- a/forward/src/test/java/org/verbenatally/forward/TargetDirectoryTest.java
+++ b/forward/src/test/java/org/verbenatally/forward/TargetDirectoryTest.java
@@ -34,8 +34,8 @@
                 .toList();
     }
 
-    private void publish(ForwardTarget... entries) {
-        directory.published(Targets.list(List.of(entries)));
+    private void publish(ForwardTarget... targets) {
+        directory.applyPublished(Targets.list(List.of(targets)));
     }
 
     /** Guards against new work for a target that is published as leaving or is no longer published. */
@@ -55,7 +55,7 @@
     @Test
     void lapsedTargetsAreKeptBrieflyAfterListIsReachable() {
         publish(ready("a"), ready("b"));
-        directory.unreachable("down");
+        directory.onSourceUnreachable("down");
         timer.advance(Duration.ofSeconds(8));
         publish(ready("a"));
         assertThat(candidates()).containsExactly("a", "b");
--- a/forward/src/test/java/org/verbenatally/forward/TestCodec.java
+++ b/forward/src/test/java/org/verbenatally/forward/TestCodec.java
@@ -12,9 +12,9 @@
 import org.verbenatally.core.Address;
 
 /** Codec for tests, with header names of its own. */
-final class TestCodec implements WireCodec {
+final class TestCodec implements HttpMessageCodec {
     static final String ID = "Test-Id";
-    static final String PATIENCE = "Test-Patience";
+    static final String CALLER_TIMEOUT = "Test-Patience";
     static final String TOKENS = "Test-Tokens";
     static final String KEY = "Test-Key";
     static final String TARGET = "Test-Target";
@@ -33,28 +33,28 @@
                 request.authority().host(),
                 request.path(),
                 Optional.ofNullable(request.getHeader(KEY)),
-                Optional.ofNullable(request.getHeader(PATIENCE)).map(v -> Duration.ofMillis(Long.parseLong(v))),
+                Optional.ofNullable(request.getHeader(CALLER_TIMEOUT)).map(v -> Duration.ofMillis(Long.parseLong(v))),
                 tokens == null
                         ? Optional.empty()
                         : Optional.of(new Generation(100, Long.parseLong(tokens), OptionalLong.empty())));
     }
 
     @Override
-    public void write(TargetOrder order, MultiMap headers) {
+    public void write(ForwardingMetadata metadata, MultiMap headers) {
         headers.remove(KEY);
-        headers.set(TARGET, order.target().value());
-        headers.set(PATIENCE, Long.toString(order.timeLeft().toMillis()));
-        order.organisation().ifPresent(o -> headers.set(ORGANISATION, o.value()));
-        order.backup().ifPresent(a -> headers.set(BACKUP, a.toString()));
-        order.continuation().ifPresent(c -> {
-            headers.set(COPY, c.holder() + "/" + c.copy());
+        headers.set(TARGET, metadata.target().value());
+        headers.set(CALLER_TIMEOUT, Long.toString(metadata.remaining().toMillis()));
+        metadata.organisation().ifPresent(o -> headers.set(ORGANISATION, o.value()));
+        metadata.backup().ifPresent(a -> headers.set(BACKUP, a.toString()));
+        metadata.continuation().ifPresent(c -> {
+            headers.set(COPY, c.holder() + "/" + c.copyId());
             c.lastEvent().ifPresent(e -> headers.set(LAST_EVENT, e));
         });
     }
 
     @Override
-    public AnswerHead read(HttpClientResponse response) {
-        return new AnswerHead(
+    public ResponseHead read(HttpClientResponse response) {
+        return new ResponseHead(
                 response.statusCode(),
                 response.getHeader(NOT_RUN) != null,
                 Optional.ofNullable(response.getHeader(ID)),
@@ -62,12 +62,12 @@
     }
 
     @Override
-    public CopyCall copy(String requestId, Address destination) {
-        return new CopyCall(HttpMethod.POST, "/copy", Buffer.buffer(requestId + ">" + destination));
+    public CopyRequest copyRequest(String requestId, Address destination) {
+        return new CopyRequest(HttpMethod.POST, "/copy", Buffer.buffer(requestId + ">" + destination));
     }
 
     @Override
-    public Optional<String> readCopy(int status, Buffer body) {
+    public Optional<String> readCopyResponse(int status, Buffer body) {
         return status == 200 ? Optional.of(body.toString()) : Optional.empty();
     }
 }
