--- a/forward/src/main/java/org/verbenatally/forward/Route.java
+++ b/forward/src/main/java/org/verbenatally/forward/Route.java
@@ -21,7 +21,8 @@
  * @param shares services and their weights; at least one
  * @param maxAttempts maximum number of targets that one request may run on
  * @param allowsAnonymous whether callers need no credential
- * @param eventGapObjective longest pause between events that callers expect; empty if the response is not a series of events
+ * @param eventGapObjective longest pause between events that callers expect; empty if the response is not a series of
+ *     events
  */
 public record Route(
         RouteName name,
--- a/forward/src/main/java/org/verbenatally/forward/StreamRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamRun.java
@@ -23,13 +23,13 @@
     private static final Logger LOG = Logger.getLogger(StreamRun.class);
 
     /**
-     * Silence timeout, in gap targets. A generation without an event for this long continues at another engine, because
-     * its engine is dead or heavily overloaded.
+     * Silence timeout, in event gap objectives. A generation without an event for this long continues at another
+     * engine, because its engine is dead or heavily overloaded.
      */
     private static final int SILENCE_TIMEOUT_GAPS = 5;
 
     private static final Duration MIN_REMAINING = Duration.ofMillis(20);
-    /** Gap target of routes that do not configure one. */
+    /** Event gap objective of routes that do not configure one. */
     private static final Duration DEFAULT_EVENT_GAP_OBJECTIVE = Duration.ofMillis(500);
 
     private final ForwardComponents components;
