--- a/tools/src/main/java/org/verbenatally/load/Call.java
+++ b/tools/src/main/java/org/verbenatally/load/Call.java
@@ -184,7 +184,7 @@
             int count = response.getInteger(
                     "tokens", (int) generated.chars().filter(c -> c == ' ').count());
             record.setCompleteBody(generated, count);
-            if (!TokenText.isWhole(generated, new GenerationId(generation), count)) {
+            if (!TokenText.isComplete(generated, new GenerationId(generation), count)) {
                 record.addViolation("complete response is not exactly one complete generation");
             }
         } else {
--- a/tools/src/main/java/org/verbenatally/standin/TokenText.java
+++ b/tools/src/main/java/org/verbenatally/standin/TokenText.java
@@ -22,7 +22,7 @@
     }
 
     /** Returns whether a response consists of exactly the first {@code tokens} tokens of a generation. */
-    public static boolean isWhole(String responseText, GenerationId generation, long tokens) {
+    public static boolean isComplete(String responseText, GenerationId generation, long tokens) {
         int position = 0;
         for (long offset = 0; offset < tokens; offset++) {
             String expected = of(generation, offset);
