--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -98,7 +98,7 @@
 
         private void deliver(SteppedEngine.Generation generation) {
             ActiveGeneration active = running.get(generation);
-            if (simulation.tokens(generation) > active.tokens) {
+            if (simulation.generatedTokens(generation) > active.tokens) {
                 active.tokens++;
                 active.inFlight.token();
                 metrics.onToken(active.trialRequest);
--- a/tools/src/main/java/org/verbenatally/standin/SteppedEngine.java
+++ b/tools/src/main/java/org/verbenatally/standin/SteppedEngine.java
@@ -54,7 +54,7 @@
     }
 
     /** Returns the number of tokens that a generation has produced. */
-    public int tokens(Generation generation) {
+    public int generatedTokens(Generation generation) {
         return generation.sequence.generated;
     }
 
