--- a/tools/src/main/java/org/verbenatally/faults/Caller.java
+++ b/tools/src/main/java/org/verbenatally/faults/Caller.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import org.verbenatally.core.Outcome;
 import org.verbenatally.history.History;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.TokenSeen;
 
@@ -76,10 +76,10 @@
      * Sends one request, resumes its stream when the connection breaks, and returns the recorded response. If an entry
      * refuses the connection, the next entry is tried, as a load balancer would.
      */
-    Answer send(WorkItem work, int entry) {
+    Response send(WorkItem work, int entry) {
         String requestId = "r" + REQUEST_SERIAL.incrementAndGet();
         RequestState state = new RequestState(requestId, System.currentTimeMillis() + timeoutMs);
-        Answer response = null;
+        Response response = null;
         int entryIndex = entry;
         for (int tries = 0; response == null && tries < cluster.size(); tries++) {
             entryIndex = (entry + tries) % cluster.size();
@@ -114,7 +114,7 @@
     }
 
     /** Sends the request and returns its response, or {@code null} if the connection was lost before its end. */
-    private Answer sendAndRead(HttpCall call, WorkItem work, RequestState state) {
+    private Response sendAndRead(HttpCall call, WorkItem work, RequestState state) {
         try {
             call.exchange("POST", "/v1/work/" + work.kind().name(), headers(work, state.requestId), work.body());
             return readResponse(call, work, state);
@@ -141,7 +141,7 @@
     }
 
     /** Resumes a stream at the other entries in turn until it ends or the timeout of the caller has passed. */
-    private Answer resumeStream(WorkItem work, int entry, RequestState state) {
+    private Response resumeStream(WorkItem work, int entry, RequestState state) {
         int entryIndex = entry;
         while (state.stream != null && System.currentTimeMillis() < state.deadlineEpochMs) {
             entryIndex = (entryIndex + 1) % cluster.size();
@@ -151,7 +151,7 @@
                     headers.put("Last-Event-ID", state.lastEventId);
                 }
                 call.exchange("GET", "/v1/streams/" + state.stream, headers, null);
-                Answer response = readResponse(call, work, state);
+                Response response = readResponse(call, work, state);
                 // A rejected resume does not end the request: another entry may still be able to resume its stream.
                 if (response != null && (response.status() < 400 || response.status() == 410)) {
                     return response;
@@ -165,7 +165,7 @@
     }
 
     /** Reads a response; returns {@code null} if a stream ended without its last event. */
-    private Answer readResponse(HttpCall call, WorkItem work, RequestState state) throws IOException {
+    private Response readResponse(HttpCall call, WorkItem work, RequestState state) throws IOException {
         String type = Objects.requireNonNullElse(call.header("Content-Type"), "");
         if (!type.startsWith("text/event-stream")) {
             String body = call.readRemainingBody();
@@ -184,7 +184,7 @@
             } else if (line.startsWith("id:")) {
                 id = line.substring(3).trim();
             } else if (line.startsWith("data:")) {
-                Answer response = state.onEvent(event, id, parse(line.substring(5)), call.status());
+                Response response = state.onEvent(event, id, parse(line.substring(5)), call.status());
                 if (response != null) {
                     return response;
                 }
@@ -224,7 +224,7 @@
             this.deadlineEpochMs = deadlineEpochMs;
         }
 
-        Answer onEvent(String event, String id, JsonNode data, int status) {
+        Response onEvent(String event, String id, JsonNode data, int status) {
             switch (event) {
                 case "start" -> {
                     stream = data.path("stream").asText();
@@ -256,8 +256,8 @@
             }
         }
 
-        Answer createResponse(Outcome outcome, int status, String type, long tokens, String text) {
-            return new Answer(System.currentTimeMillis(), requestId, outcome, status, type, generation, tokens, text);
+        Response createResponse(Outcome outcome, int status, String type, long tokens, String text) {
+            return new Response(System.currentTimeMillis(), requestId, outcome, status, type, generation, tokens, text);
         }
     }
 }
--- a/tools/src/main/java/org/verbenatally/faults/KeyCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/KeyCases.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 
 /** Cases with non-repeatable work: the owner of its key fails, or duplicate requests arrive at several entries. */
 final class KeyCases {
@@ -44,9 +44,9 @@
     private static void ownerKilledDuringCall(Trial trial) {
         trial.changeServiceOptions("{\"serviceMs\":3000}");
         WorkItem work = trial.keyedWork(OWNER);
-        CompletableFuture<Answer> first = trial.send(work, 1);
+        CompletableFuture<Response> first = trial.send(work, 1);
         trial.await("the call has started", () -> trial.startCount(work) > 0);
-        CompletableFuture<Answer> second = trial.send(work, 2);
+        CompletableFuture<Response> second = trial.send(work, 2);
         trial.cluster().killEntry(OWNER);
         trial.expectOutcome(trial.await(first), Outcome.UNKNOWN, "first request");
         trial.expectOutcome(trial.await(second), Outcome.UNKNOWN, "second request");
@@ -70,7 +70,7 @@
     }
 
     private static void sameKeyAtAllEntries(Trial trial) {
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             WorkItem work = trial.keyedWork(i % 3);
             IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry)));
@@ -82,7 +82,7 @@
     private static void sameKeyAcrossKills(Trial trial) {
         trial.changeServiceOptions("{\"serviceMs\":300}");
         List<WorkItem> workItems = new ArrayList<>();
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int killedEntry = 0; killedEntry < trial.cluster().size(); killedEntry++) {
             for (int issuer = 0; issuer < trial.cluster().size(); issuer++) {
                 workItems.add(trial.keyedWork(issuer));
@@ -100,7 +100,7 @@
 
     private static void serviceBreaksAfterRun(Trial trial) {
         trial.changeServiceOptions("{\"fault\":\"reset-after-run\",\"faultCount\":2}");
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             WorkItem work = trial.keyedWork(i % 3);
             responses.add(trial.send(work, 0));
@@ -119,7 +119,7 @@
         var streamResponses = trial.sendStreams(4, 300, OWNER);
         trial.awaitTokensOfEachStream(1);
         List<WorkItem> workItems = new ArrayList<>();
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         IntStream.range(0, 6).forEach(i -> workItems.add(trial.keyedWork(OWNER)));
         workItems.forEach(work -> responses.add(trial.send(work, 1)));
         trial.cluster().recordFault("pause", trial.cluster().entryName(OWNER));
@@ -142,7 +142,7 @@
 
     private static void lateResponses(Trial trial) {
         trial.changeServiceOptions("{\"jitterMs\":1800}");
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 90; i++) {
             responses.add(trial.send(i % 2 == 0 ? trial.idempotentWork() : trial.keyedWork(i % 3), (i / 2) % 3));
         }
--- a/tools/src/main/java/org/verbenatally/faults/LinkCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/LinkCases.java
@@ -6,7 +6,7 @@
 import java.util.stream.IntStream;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 
 /** Cases in which connections are silenced or links are cut. */
 final class LinkCases {
@@ -63,10 +63,10 @@
 
     private static void serviceLinksSilenced(Trial trial) {
         trial.changeServiceOptions("{\"serviceMs\":1000}");
-        List<CompletableFuture<Answer>> idempotentResponses = IntStream.range(0, 6)
+        List<CompletableFuture<Response>> idempotentResponses = IntStream.range(0, 6)
                 .mapToObj(i -> trial.send(trial.idempotentWork(), 0))
                 .toList();
-        List<CompletableFuture<Answer>> keyedResponses = IntStream.range(0, 3)
+        List<CompletableFuture<Response>> keyedResponses = IntStream.range(0, 3)
                 .mapToObj(i -> trial.send(trial.keyedWork(0), 0))
                 .toList();
         trial.await(
@@ -90,7 +90,7 @@
         trial.cluster().recordFault("one-way", "entry-1 to entry-2");
         trial.cluster().links().hold((from, to) -> from.equals(FIRST_ENTRY) && to.equals("entry-2"));
         List<WorkItem> workItems = new ArrayList<>();
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
             workItems.add(trial.keyedWork(i % 3));
         }
@@ -111,7 +111,7 @@
     }
 
     private static void oneWayCutFromEngine(Trial trial) {
-        List<CompletableFuture<Answer>> streamResponses = new ArrayList<>();
+        List<CompletableFuture<Response>> streamResponses = new ArrayList<>();
         IntStream.range(0, 12).forEach(i -> streamResponses.add(trial.send(trial.streamedWork(200), i % 3)));
         trial.awaitTokensOfEachStream(10);
         trial.cluster().recordFault("one-way", "engine-1 to entries");
@@ -131,7 +131,7 @@
         trial.cluster().recordFault("partition", "entry-3 and half of the targets");
         trial.cluster().links().partition(FIRST_GROUP, SECOND_GROUP);
         Workload workload = trial.workload().start(15);
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         workItems.forEach(work -> IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry))));
         long version = trial.cluster().publish(document -> document.put("entryCount", 9));
         Cluster.sleep(8_000);
--- a/tools/src/main/java/org/verbenatally/faults/PairCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/PairCases.java
@@ -9,7 +9,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 
 /** Cases that inject two faults into a loaded cluster at random times. Only the invariants are checked. */
 final class PairCases {
@@ -117,7 +117,7 @@
 
     private static void run(Trial trial, Injection first, Injection second) {
         Workload workload = trial.workload().start(20);
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         List<WorkItem> workItems = new ArrayList<>();
         IntStream.range(0, 9).forEach(i -> workItems.add(trial.keyedWork(i % 3)));
         List<CompletableFuture<Void>> injections = new ArrayList<>();
--- a/tools/src/main/java/org/verbenatally/faults/StopCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/StopCases.java
@@ -7,8 +7,8 @@
 import java.util.stream.IntStream;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.Leaving;
+import org.verbenatally.history.HistoryRecord.Response;
 
 /** Cases with a planned stop of an entry, and cases in which a target is leaving. */
 final class StopCases {
@@ -52,7 +52,7 @@
 
     private static void plannedStop(Trial trial, int count) {
         Workload workload = trial.workload().start(15);
-        List<CompletableFuture<Answer>> streamResponses = new ArrayList<>();
+        List<CompletableFuture<Response>> streamResponses = new ArrayList<>();
         List<WorkItem> workItems = new ArrayList<>();
         for (int entry = 0; entry < count; entry++) {
             streamResponses.addAll(trial.sendStreams(4, 400, entry));
@@ -96,7 +96,7 @@
         var streamResponses = trial.sendStreams(2, 300, 0);
         trial.awaitTokensOfEachStream(1);
         trial.cluster().stopEntry(0);
-        List<CompletableFuture<Answer>> late = new ArrayList<>();
+        List<CompletableFuture<Response>> late = new ArrayList<>();
         long deadlineNanos = System.nanoTime() + EXIT_TIMEOUT.toNanos();
         while (trial.cluster().entry(0).process().isAlive() && System.nanoTime() - deadlineNanos < 0) {
             late.add(trial.send(trial.streamedWork(10), 0));
@@ -171,7 +171,7 @@
                 .findFirst()
                 .orElseThrow();
         trial.cluster().announceLeaving(service);
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 30; i++) {
             responses.add(trial.send(i % 2 == 0 ? trial.idempotentWork() : trial.keyedWork(i % 3), (i / 2) % 3));
             Cluster.sleep(50);
--- a/tools/src/main/java/org/verbenatally/faults/StreamCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/StreamCases.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.TokenSeen;
 
 /** Cases in which the entry or the engine of a stream fails. */
@@ -45,7 +45,7 @@
     }
 
     /** Sends streams to all entries until one has started on the engine that the case kills. */
-    private static List<CompletableFuture<Answer>> sendUntilStartedOnEngine(Trial trial, int tokens) {
+    private static List<CompletableFuture<Response>> sendUntilStartedOnEngine(Trial trial, int tokens) {
         return trial.sendUntilStarted(ENGINE, () -> trial.streamedWork(tokens));
     }
 
@@ -62,7 +62,7 @@
         trial.awaitTokensOfEachStream(20);
         Set<String> affected = trial.workStartedOn(ENGINE);
         trial.cluster().killTarget(ENGINE);
-        List<Answer> completed = trial.await(responses);
+        List<Response> completed = trial.await(responses);
         long lost = completed.stream()
                 .filter(response -> response.outcome() == Outcome.UNKNOWN && "generation-lost".equals(response.type()))
                 .count();
@@ -91,7 +91,7 @@
                             lastGenerations.contains(start.path("generation").asText()));
         });
         trial.cluster().killTarget(ENGINE);
-        List<Answer> completed = trial.await(responses);
+        List<Response> completed = trial.await(responses);
         trial.expect(
                 completed.stream().allMatch(response -> response.outcome() != null),
                 "a stream ended without an outcome");
@@ -111,7 +111,7 @@
     private static void slowReader(Trial trial) {
         Caller slow = new Caller(trial.cluster(), 60_000).withReadDelay(30);
         WorkItem work = trial.streamedWork(300);
-        CompletableFuture<Answer> slowResponse = CompletableFuture.supplyAsync(() -> slow.send(work, 0));
+        CompletableFuture<Response> slowResponse = CompletableFuture.supplyAsync(() -> slow.send(work, 0));
         var others = trial.sendStreams(6, 100, 0);
         trial.expectAllDone(others, "streams of other readers");
         trial.expectAllDone(List.of(slowResponse), "stream of the slow reader");
@@ -126,13 +126,13 @@
     }
 
     private static void poisonRequest(Trial trial, int otherCount) {
-        List<CompletableFuture<Answer>> otherResponses = new ArrayList<>();
+        List<CompletableFuture<Response>> otherResponses = new ArrayList<>();
         IntStream.range(0, otherCount).forEach(i -> otherResponses.add(trial.send(trial.streamedWork(300), i % 3)));
         trial.awaitTokensOfEachStream(1);
         WorkItem poison = trial.streamedWork(50, "[crash=3]");
         int rejections = 0;
         for (int i = 0; i < 12 && rejections < trial.cluster().size(); i++) {
-            Answer response = trial.await(trial.send(poison, i % 3));
+            Response response = trial.await(trial.send(poison, i % 3));
             rejections = "crashes-targets".equals(response.type()) ? rejections + 1 : 0;
             trial.cluster().recordFault("crash-request", "engines");
             Cluster.sleep(500);
@@ -144,7 +144,7 @@
         trial.expect(crashes <= 3, crashes + " engines crashed");
         trial.expect(rejections == trial.cluster().size(), "the request was not rejected by every entry");
         trial.expectAllDone(trial.sendStreams(6, 40, 1), "streams after the crashes");
-        List<Answer> completed = trial.await(otherResponses);
+        List<Response> completed = trial.await(otherResponses);
         trial.recordFigure(
                 "others-done",
                 completed.stream()
--- a/tools/src/main/java/org/verbenatally/faults/Trial.java
+++ b/tools/src/main/java/org/verbenatally/faults/Trial.java
@@ -21,7 +21,7 @@
 import org.verbenatally.config.Kind;
 import org.verbenatally.core.KindName;
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.TokenSeen;
 
 /** One run of a fault case: its cluster, its callers, and the expectations of the case beyond the invariants. */
@@ -129,7 +129,7 @@
     }
 
     /** Sends a request to an entry without waiting for the response. */
-    CompletableFuture<Answer> send(WorkItem work, int entry) {
+    CompletableFuture<Response> send(WorkItem work, int entry) {
         if (work.isStreamed()) {
             streamCount.incrementAndGet();
         }
@@ -137,7 +137,7 @@
     }
 
     /** Sends requests with streamed responses to one entry without waiting for the responses. */
-    List<CompletableFuture<Answer>> sendStreams(int count, int tokens, int entry) {
+    List<CompletableFuture<Response>> sendStreams(int count, int tokens, int entry) {
         return IntStream.range(0, count)
                 .mapToObj(i -> send(streamedWork(tokens), entry))
                 .toList();
@@ -148,7 +148,7 @@
      *
      * @throws IllegalStateException if the request does not end within twice the timeout of the caller
      */
-    Answer await(CompletableFuture<Answer> response) {
+    Response await(CompletableFuture<Response> response) {
         try {
             return response.get(CALLER_TIMEOUT_MS * 2, TimeUnit.MILLISECONDS);
         } catch (Exception e) {
@@ -156,13 +156,13 @@
         }
     }
 
-    List<Answer> await(Collection<CompletableFuture<Answer>> responses) {
+    List<Response> await(Collection<CompletableFuture<Response>> responses) {
         return responses.stream().map(this::await).toList();
     }
 
     /** Waits for all responses and expects each of them to be complete. */
-    void expectAllDone(Collection<CompletableFuture<Answer>> responses, String description) {
-        List<Answer> completed = await(responses);
+    void expectAllDone(Collection<CompletableFuture<Response>> responses, String description) {
+        List<Response> completed = await(responses);
         long done = completed.stream()
                 .filter(response -> response.outcome() == Outcome.DONE)
                 .count();
@@ -181,7 +181,7 @@
     }
 
     /** Expects a response to have the given outcome. */
-    void expectOutcome(Answer response, Outcome outcome, String description) {
+    void expectOutcome(Response response, Outcome outcome, String description) {
         expect(
                 response.outcome() == outcome,
                 "%s: expected %s, was %s status %d %s"
@@ -190,7 +190,7 @@
 
     /** Expects that every response in the history has a known outcome. */
     void expectAllOutcomesKnown() {
-        List<Answer> unknown = cluster.history().all(Answer.class).stream()
+        List<Response> unknown = cluster.history().all(Response.class).stream()
                 .filter(response -> response.outcome() == null || response.outcome() == Outcome.UNKNOWN)
                 .toList();
         expect(
@@ -226,8 +226,8 @@
      * Sends work items to all entries in turn: 24 at first, then one more every 200 ms until the target has started
      * one. This can take several requests because the entries choose the target.
      */
-    List<CompletableFuture<Answer>> sendUntilStarted(String target, Supplier<WorkItem> supplier) {
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+    List<CompletableFuture<Response>> sendUntilStarted(String target, Supplier<WorkItem> supplier) {
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < INITIAL_REQUESTS; i++) {
             responses.add(send(supplier.get(), i % 3));
         }
--- a/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 
@@ -20,8 +20,8 @@
 
     /** Creates a checker with all rules. */
     public HistoryChecker() {
-        rules.put(Rule.TOKENS_ONCE, AnswerRules::tokensOnce);
-        rules.put(Rule.ANSWERS_MATCH, AnswerRules::answersMatch);
+        rules.put(Rule.TOKENS_ONCE, ResponseRules::tokensOnce);
+        rules.put(Rule.ANSWERS_MATCH, ResponseRules::answersMatch);
         rules.put(Rule.NOT_RUN_HELD, RunRules::notRunHeld);
         rules.put(Rule.AT_MOST_ONCE, RunRules::atMostOnce);
         rules.put(Rule.LEAVING_RESTS, RunRules::leavingRests);
@@ -39,34 +39,36 @@
 
     private static HistoryReport.Counts count(History history) {
         List<Sent> sent = history.all(Sent.class);
-        Map<String, List<Answer>> answersByRequest = history.groupBy(Answer.class, Answer::request);
+        Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
         Set<String> nonRepeatable =
                 sent.stream().filter(copy -> !copy.repeatable()).map(Sent::work).collect(Collectors.toSet());
         Set<String> executed = history.all(Run.class).stream().map(Run::work).collect(Collectors.toSet());
         executed.retainAll(nonRepeatable);
         Set<String> unknown = new HashSet<>(nonRepeatable);
         sent.stream()
-                .filter(copy -> answersByRequest.getOrDefault(copy.request(), List.of()).stream()
-                        .anyMatch(answer -> answer.outcome() == Outcome.DONE || answer.outcome() == Outcome.NOT_RUN))
+                .filter(copy -> responsesByRequest.getOrDefault(copy.request(), List.of()).stream()
+                        .anyMatch(response ->
+                                response.outcome() == Outcome.DONE || response.outcome() == Outcome.NOT_RUN))
                 .forEach(copy -> unknown.remove(copy.work()));
         return new HistoryReport.Counts(
                 sent.size(),
-                countByOutcome(sent, answersByRequest, Outcome.DONE),
-                countByOutcome(sent, answersByRequest, Outcome.NOT_RUN),
-                countByOutcome(sent, answersByRequest, Outcome.UNKNOWN),
-                countByOutcome(sent, answersByRequest, null),
+                countByOutcome(sent, responsesByRequest, Outcome.DONE),
+                countByOutcome(sent, responsesByRequest, Outcome.NOT_RUN),
+                countByOutcome(sent, responsesByRequest, Outcome.UNKNOWN),
+                countByOutcome(sent, responsesByRequest, null),
                 sent.stream()
-                        .filter(copy -> !answersByRequest.containsKey(copy.request()))
+                        .filter(copy -> !responsesByRequest.containsKey(copy.request()))
                         .count(),
                 nonRepeatable.size(),
                 executed.size(),
                 unknown.size());
     }
 
-    private static long countByOutcome(List<Sent> sent, Map<String, List<Answer>> answersByRequest, Outcome outcome) {
+    private static long countByOutcome(
+            List<Sent> sent, Map<String, List<Response>> responsesByRequest, Outcome outcome) {
         return sent.stream()
-                .filter(copy -> answersByRequest.containsKey(copy.request()))
-                .filter(copy -> answersByRequest.get(copy.request()).getLast().outcome() == outcome)
+                .filter(copy -> responsesByRequest.containsKey(copy.request()))
+                .filter(copy -> responsesByRequest.get(copy.request()).getLast().outcome() == outcome)
                 .count();
     }
 }
--- a/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
@@ -12,7 +12,7 @@
 @JsonSubTypes({
     @JsonSubTypes.Type(value = HistoryRecord.Sent.class, name = "sent"),
     @JsonSubTypes.Type(value = HistoryRecord.TokenSeen.class, name = "token"),
-    @JsonSubTypes.Type(value = HistoryRecord.Answer.class, name = "answer"),
+    @JsonSubTypes.Type(value = HistoryRecord.Response.class, name = "answer"),
     @JsonSubTypes.Type(value = HistoryRecord.Run.class, name = "run"),
     @JsonSubTypes.Type(value = HistoryRecord.VersionSeen.class, name = "version"),
     @JsonSubTypes.Type(value = HistoryRecord.Leaving.class, name = "leaving"),
@@ -77,7 +77,7 @@
      * @param tokens number of tokens reported at the end of the stream, or -1
      * @param text body of a complete response, or {@code null}
      */
-    record Answer(
+    record Response(
             long atMs,
             String request,
             Outcome outcome,
--- a/tools/src/main/java/org/verbenatally/history/InstanceRules.java
+++ b/tools/src/main/java/org/verbenatally/history/InstanceRules.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.Fault;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.Stop;
 import org.verbenatally.history.HistoryRecord.VersionSeen;
@@ -48,19 +48,19 @@
      * count as cut off.
      */
     static List<String> stopIsGraceful(History history) {
-        Map<String, List<Answer>> answersByRequest = history.groupBy(Answer.class, Answer::request);
+        Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
         Map<String, List<Sent>> copiesByEntry = history.groupBy(Sent.class, Sent::entry);
         List<Fault> faults = history.all(Fault.class);
         List<String> violations = new ArrayList<>();
         for (Stop stop : history.all(Stop.class)) {
             for (Sent copy : copiesByEntry.getOrDefault(stop.instance(), List.of())) {
-                List<Answer> copyAnswers = answersByRequest.getOrDefault(copy.request(), List.of());
-                if (copyAnswers.isEmpty()) {
+                List<Response> copyResponses = responsesByRequest.getOrDefault(copy.request(), List.of());
+                if (copyResponses.isEmpty()) {
                     violations.add("request %s at %s was open when the history ended"
                             .formatted(copy.request(), stop.instance()));
                     continue;
                 }
-                Answer last = copyAnswers.getLast();
+                Response last = copyResponses.getLast();
                 boolean openAtStop = last.atMs() >= stop.atMs();
                 boolean interrupted = last.outcome() == null || last.outcome() == Outcome.UNKNOWN;
                 boolean openAtFault =
--- a/tools/src/main/java/org/verbenatally/history/AnswerRules.java
+++ b/tools/src/main/java/org/verbenatally/history/ResponseRules.java
@@ -8,14 +8,14 @@
 import java.util.stream.Collectors;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.TokenSeen;
 
 /** Rules on the responses that callers received. */
-final class AnswerRules {
-    private AnswerRules() {}
+final class ResponseRules {
+    private ResponseRules() {}
 
     /** Reports tokens of a request that are missing, duplicated, out of order or from a second generation. */
     static List<String> tokensOnce(History history) {
@@ -47,18 +47,18 @@
         Map<String, Run> runsById = new HashMap<>();
         history.all(Run.class).forEach(run -> runsById.put(run.run(), run));
         Map<String, List<TokenSeen>> tokensByRequest = history.groupBy(TokenSeen.class, TokenSeen::request);
-        Map<String, List<Answer>> answersByRequest = history.groupBy(Answer.class, Answer::request);
+        Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
         for (Sent sent : history.all(Sent.class)) {
-            List<Answer> requestAnswers = answersByRequest.getOrDefault(sent.request(), List.of());
-            if (requestAnswers.size() > 1) {
-                violations.add("request %s was answered %d times".formatted(sent.request(), requestAnswers.size()));
+            List<Response> requestResponses = responsesByRequest.getOrDefault(sent.request(), List.of());
+            if (requestResponses.size() > 1) {
+                violations.add("request %s was answered %d times".formatted(sent.request(), requestResponses.size()));
             }
             if (sent.streamed()) {
                 List<TokenSeen> receivedTokens = tokensByRequest.getOrDefault(sent.request(), List.of());
-                checkStream(sent, receivedTokens, requestAnswers, runsById, violations);
-            } else if (!requestAnswers.isEmpty() && requestAnswers.getLast().outcome() == Outcome.DONE) {
-                checkCompleteAnswer(
-                        sent, requestAnswers.getLast(), runsByWork.getOrDefault(sent.work(), List.of()), violations);
+                checkStream(sent, receivedTokens, requestResponses, runsById, violations);
+            } else if (!requestResponses.isEmpty() && requestResponses.getLast().outcome() == Outcome.DONE) {
+                checkCompleteResponse(
+                        sent, requestResponses.getLast(), runsByWork.getOrDefault(sent.work(), List.of()), violations);
             }
         }
         return violations;
@@ -67,13 +67,13 @@
     private static void checkStream(
             Sent sent,
             List<TokenSeen> receivedTokens,
-            List<Answer> requestAnswers,
+            List<Response> requestResponses,
             Map<String, Run> runsById,
             List<String> violations) {
-        boolean done = !requestAnswers.isEmpty() && requestAnswers.getLast().outcome() == Outcome.DONE;
-        if (done && requestAnswers.getLast().tokens() != receivedTokens.size()) {
+        boolean done = !requestResponses.isEmpty() && requestResponses.getLast().outcome() == Outcome.DONE;
+        if (done && requestResponses.getLast().tokens() != receivedTokens.size()) {
             violations.add("the stream of request %s ended with a count of %d tokens but delivered %d"
-                    .formatted(sent.request(), requestAnswers.getLast().tokens(), receivedTokens.size()));
+                    .formatted(sent.request(), requestResponses.getLast().tokens(), receivedTokens.size()));
         }
         if (receivedTokens.isEmpty()) {
             return;
@@ -99,14 +99,14 @@
         }
     }
 
-    private static void checkCompleteAnswer(Sent sent, Answer answer, List<Run> runs, List<String> violations) {
+    private static void checkCompleteResponse(Sent sent, Response response, List<Run> runs, List<String> violations) {
         if (runs.isEmpty()) {
             violations.add("request %s was answered with done although no target ran work %s"
                     .formatted(sent.request(), sent.work()));
             return;
         }
         boolean matched =
-                runs.stream().anyMatch(run -> run.text() == null || run.text().equals(answer.text()));
+                runs.stream().anyMatch(run -> run.text() == null || run.text().equals(response.text()));
         if (!matched) {
             violations.add("request %s received a response that no run of work %s produced"
                     .formatted(sent.request(), sent.work()));
--- a/tools/src/main/java/org/verbenatally/history/RunRules.java
+++ b/tools/src/main/java/org/verbenatally/history/RunRules.java
@@ -9,8 +9,8 @@
 import java.util.stream.Collectors;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.Leaving;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 
@@ -33,9 +33,9 @@
      */
     static List<String> notRunHeld(History history) {
         List<String> violations = new ArrayList<>();
-        Set<String> notRunRequests = history.all(Answer.class).stream()
-                .filter(answer -> answer.outcome() == Outcome.NOT_RUN)
-                .map(Answer::request)
+        Set<String> notRunRequests = history.all(Response.class).stream()
+                .filter(response -> response.outcome() == Outcome.NOT_RUN)
+                .map(Response::request)
                 .collect(Collectors.toSet());
         Map<String, List<Run>> runs = history.groupBy(Run.class, Run::work);
         history.groupBy(Sent.class, Sent::work).forEach((work, copies) -> {
--- a/tools/src/main/java/org/verbenatally/load/Call.java
+++ b/tools/src/main/java/org/verbenatally/load/Call.java
@@ -138,7 +138,7 @@
                 headers,
                 request.body().toBuffer());
         CopyResult result = readResponse(exchange, id);
-        client.recordHistory(new HistoryRecord.Answer(
+        client.recordHistory(new HistoryRecord.Response(
                 System.currentTimeMillis(),
                 id,
                 result.outcome(),
--- a/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
+++ b/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.Fault;
 import org.verbenatally.history.HistoryRecord.Leaving;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.Stop;
@@ -39,7 +39,7 @@
     }
 
     private static HistoryRecord end(String request, Outcome outcome, long tokens, String text) {
-        return new Answer(10, request, outcome, 200, null, null, tokens, text);
+        return new Response(10, request, outcome, 200, null, null, tokens, text);
     }
 
     private static History history(HistoryRecord... records) {
@@ -87,13 +87,13 @@
                         new Run(2, "t1", "g1", "w9", true, 2, "ab"),
                         FIRST),
                 violationCase(
-                        "answer to other work",
+                        "response to other work",
                         Rule.ANSWERS_MATCH,
                         BOOKING,
                         BOOKING_RUN,
                         end("r2", Outcome.DONE, -1, "ok w9")),
-                violationCase("answer without a run", Rule.ANSWERS_MATCH, BOOKING, BOOKING_DONE),
-                violationCase("two answers", Rule.ANSWERS_MATCH, BOOKING, BOOKING_RUN, BOOKING_DONE, BOOKING_DONE));
+                violationCase("response without a run", Rule.ANSWERS_MATCH, BOOKING, BOOKING_DONE),
+                violationCase("two responses", Rule.ANSWERS_MATCH, BOOKING, BOOKING_RUN, BOOKING_DONE, BOOKING_DONE));
     }
 
     static Stream<Arguments> plantedRuns() {
