--- a/tools/src/main/java/org/verbenatally/faults/Caller.java
+++ b/tools/src/main/java/org/verbenatally/faults/Caller.java
@@ -13,7 +13,7 @@
 import org.verbenatally.history.History;
 import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Sent;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
 
 /**
  * Sends requests as a caller of the system does and records what it receives. When the connection of a stream breaks or
@@ -244,7 +244,7 @@
                     if (id != null) {
                         lastEventId = id;
                         long offset = Long.parseLong(id.substring(id.lastIndexOf(':') + 1));
-                        history.add(new TokenSeen(
+                        history.add(new TokenReceived(
                                 System.currentTimeMillis(),
                                 requestId,
                                 generation,
--- a/tools/src/main/java/org/verbenatally/faults/StreamCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/StreamCases.java
@@ -9,7 +9,7 @@
 
 import org.verbenatally.core.Outcome;
 import org.verbenatally.history.HistoryRecord.Response;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
 
 /** Cases in which the entry or the engine of a stream fails. */
 final class StreamCases {
@@ -82,9 +82,9 @@
         int tokens = 60;
         var responses = sendUntilStartedOnEngine(trial, tokens);
         trial.await("one of the last two tokens of a stream", () -> {
-            Set<String> lastGenerations = trial.cluster().history().all(TokenSeen.class).stream()
+            Set<String> lastGenerations = trial.cluster().history().all(TokenReceived.class).stream()
                     .filter(token -> token.offset() >= tokens - 2)
-                    .map(TokenSeen::generation)
+                    .map(TokenReceived::generation)
                     .collect(Collectors.toSet());
             return trial.events(ENGINE, "start").stream()
                     .anyMatch(start ->
--- a/tools/src/main/java/org/verbenatally/faults/StreamTimings.java
+++ b/tools/src/main/java/org/verbenatally/faults/StreamTimings.java
@@ -9,7 +9,7 @@
 import org.HdrHistogram.Histogram;
 import org.verbenatally.history.History;
 import org.verbenatally.history.HistoryRecord.Sent;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
 
 /** Latency statistics of the streams in a history, in milliseconds. */
 final class StreamTimings {
@@ -29,15 +29,15 @@
     StreamTimings(History history, int firstTokenMs, int tokenGapMs) {
         Map<String, Long> sentAtMs = new HashMap<>();
         history.all(Sent.class).forEach(each -> sentAtMs.put(each.request(), each.atMs()));
-        Map<String, List<TokenSeen>> streams = new HashMap<>();
-        history.all(TokenSeen.class)
+        Map<String, List<TokenReceived>> streams = new HashMap<>();
+        history.all(TokenReceived.class)
                 .forEach(token -> streams.computeIfAbsent(token.request(), each -> new java.util.ArrayList<>())
                         .add(token));
         streams.forEach((request, tokens) -> {
             long stallMs = 0;
             long previousMs = sentAtMs.get(request);
             int targetMs = firstTokenMs;
-            for (TokenSeen token : tokens) {
+            for (TokenReceived token : tokens) {
                 long elapsedMs = Math.max(0, token.atMs() - previousMs);
                 (targetMs == firstTokenMs ? firstToken : tokenGap).recordValue(Math.min(elapsedMs, MAX_MS));
                 stallMs += Math.max(0, elapsedMs - targetMs);
--- a/tools/src/main/java/org/verbenatally/faults/Trial.java
+++ b/tools/src/main/java/org/verbenatally/faults/Trial.java
@@ -22,7 +22,7 @@
 import org.verbenatally.core.KindName;
 import org.verbenatally.core.Outcome;
 import org.verbenatally.history.HistoryRecord.Response;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
 
 /** One run of a fault case: its cluster, its callers, and the expectations of the case beyond the invariants. */
 final class Trial {
@@ -213,8 +213,8 @@
         int expected = streamCount.get();
         await(
                 tokens + " tokens of " + expected + " streams",
-                () -> cluster.history().all(TokenSeen.class).stream()
-                                .collect(Collectors.groupingBy(TokenSeen::request, Collectors.counting()))
+                () -> cluster.history().all(TokenReceived.class).stream()
+                                .collect(Collectors.groupingBy(TokenReceived::request, Collectors.counting()))
                                 .values()
                                 .stream()
                                 .filter(count -> count >= tokens)
--- a/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
@@ -11,7 +11,7 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "record")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = HistoryRecord.Sent.class, name = "sent"),
-    @JsonSubTypes.Type(value = HistoryRecord.TokenSeen.class, name = "token"),
+    @JsonSubTypes.Type(value = HistoryRecord.TokenReceived.class, name = "token"),
     @JsonSubTypes.Type(value = HistoryRecord.Response.class, name = "answer"),
     @JsonSubTypes.Type(value = HistoryRecord.Run.class, name = "run"),
     @JsonSubTypes.Type(value = HistoryRecord.VersionSeen.class, name = "version"),
@@ -63,7 +63,8 @@
      * @param offset position of the token in the generation, as given by the event id
      * @param text text of the token
      */
-    record TokenSeen(long atMs, String request, String generation, long offset, String text) implements HistoryRecord {}
+    record TokenReceived(long atMs, String request, String generation, long offset, String text)
+            implements HistoryRecord {}
 
     /**
      * A caller received the end of a response, or stopped waiting for it.
--- a/tools/src/main/java/org/verbenatally/history/ResponseRules.java
+++ b/tools/src/main/java/org/verbenatally/history/ResponseRules.java
@@ -11,7 +11,7 @@
 import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
 
 /** Rules on the responses that callers received. */
 final class ResponseRules {
@@ -20,10 +20,10 @@
     /** Reports tokens of a request that are missing, duplicated, out of order or from a second generation. */
     static List<String> tokensOnce(History history) {
         List<String> violations = new ArrayList<>();
-        history.groupBy(TokenSeen.class, TokenSeen::request).forEach((request, tokens) -> {
+        history.groupBy(TokenReceived.class, TokenReceived::request).forEach((request, tokens) -> {
             String generation = tokens.getFirst().generation();
             long next = 0;
-            for (TokenSeen token : tokens) {
+            for (TokenReceived token : tokens) {
                 if (!Objects.equals(generation, token.generation())) {
                     violations.add("request %s received tokens of generations %s and %s"
                             .formatted(request, generation, token.generation()));
@@ -46,7 +46,7 @@
         Map<String, List<Run>> runsByWork = history.groupBy(Run.class, Run::work);
         Map<String, Run> runsById = new HashMap<>();
         history.all(Run.class).forEach(run -> runsById.put(run.run(), run));
-        Map<String, List<TokenSeen>> tokensByRequest = history.groupBy(TokenSeen.class, TokenSeen::request);
+        Map<String, List<TokenReceived>> tokensByRequest = history.groupBy(TokenReceived.class, TokenReceived::request);
         Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
         for (Sent sent : history.all(Sent.class)) {
             List<Response> requestResponses = responsesByRequest.getOrDefault(sent.request(), List.of());
@@ -54,7 +54,7 @@
                 violations.add("request %s was answered %d times".formatted(sent.request(), requestResponses.size()));
             }
             if (sent.streamed()) {
-                List<TokenSeen> receivedTokens = tokensByRequest.getOrDefault(sent.request(), List.of());
+                List<TokenReceived> receivedTokens = tokensByRequest.getOrDefault(sent.request(), List.of());
                 checkStream(sent, receivedTokens, requestResponses, runsById, violations);
             } else if (!requestResponses.isEmpty() && requestResponses.getLast().outcome() == Outcome.DONE) {
                 checkCompleteResponse(
@@ -66,7 +66,7 @@
 
     private static void checkStream(
             Sent sent,
-            List<TokenSeen> receivedTokens,
+            List<TokenReceived> receivedTokens,
             List<Response> requestResponses,
             Map<String, Run> runsById,
             List<String> violations) {
@@ -92,7 +92,7 @@
             violations.add("request %s received %d of %d tokens"
                     .formatted(sent.request(), receivedTokens.size(), run.tokens()));
         }
-        String text = receivedTokens.stream().map(TokenSeen::text).collect(Collectors.joining());
+        String text = receivedTokens.stream().map(TokenReceived::text).collect(Collectors.joining());
         if (run.text() != null && !run.text().startsWith(text)) {
             violations.add(
                     "request %s received text that differs from generation %s".formatted(sent.request(), run.run()));
--- a/tools/src/main/java/org/verbenatally/load/Call.java
+++ b/tools/src/main/java/org/verbenatally/load/Call.java
@@ -308,7 +308,7 @@
         }
         record.addToken(nanos);
         client.recordHistory(
-                new HistoryRecord.TokenSeen(System.currentTimeMillis(), id, record.generation(), offset, text));
+                new HistoryRecord.TokenReceived(System.currentTimeMillis(), id, record.generation(), offset, text));
     }
 
     /** Reads a response to its end. Returns its status, or 0 if it did not arrive completely. */
--- a/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
+++ b/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
@@ -17,7 +17,7 @@
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.Stop;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
 import org.verbenatally.history.HistoryRecord.VersionSeen;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -35,7 +35,7 @@
     private static final HistoryRecord BOOKING_DONE = end("r2", Outcome.DONE, -1, "ok w2");
 
     private static HistoryRecord token(String request, String generation, long offset, String text) {
-        return new TokenSeen(4, request, generation, offset, text);
+        return new TokenReceived(4, request, generation, offset, text);
     }
 
     private static HistoryRecord end(String request, Outcome outcome, long tokens, String text) {
