--- a/tools/src/main/java/org/verbenatally/faults/Cluster.java
+++ b/tools/src/main/java/org/verbenatally/faults/Cluster.java
@@ -28,7 +28,7 @@
 import org.verbenatally.history.HistoryRecord.Fault;
 import org.verbenatally.history.HistoryRecord.Leaving;
 import org.verbenatally.history.HistoryRecord.Stop;
-import org.verbenatally.history.HistoryRecord.VersionSeen;
+import org.verbenatally.history.HistoryRecord.VersionReported;
 
 /**
  * Runs a deployment of real size as separate processes on free loopback ports. Closing the cluster ends all processes
@@ -264,7 +264,7 @@
         try {
             JsonNode status = status(entry);
             if (status.path("configVersion").asLong() > 0) {
-                history.add(new VersionSeen(
+                history.add(new VersionReported(
                         System.currentTimeMillis(),
                         entry.name(),
                         status.path("configVersion").asLong(),
--- a/tools/src/main/java/org/verbenatally/faults/PlatformCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/PlatformCases.java
@@ -6,7 +6,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-import org.verbenatally.history.HistoryRecord.VersionSeen;
+import org.verbenatally.history.HistoryRecord.VersionReported;
 
 /** Cases in which the platform's configuration service is unavailable, stale or offers an invalid document. */
 final class PlatformCases {
@@ -155,8 +155,8 @@
 
     /** Returns the number of different documents that the entries have in force. */
     private static long distinctDigests(Trial trial) {
-        Map<String, VersionSeen> last = trial.cluster().history().all(VersionSeen.class).stream()
-                .collect(Collectors.toMap(VersionSeen::instance, seen -> seen, (before, after) -> after));
-        return last.values().stream().map(VersionSeen::digest).distinct().count();
+        Map<String, VersionReported> last = trial.cluster().history().all(VersionReported.class).stream()
+                .collect(Collectors.toMap(VersionReported::instance, report -> report, (before, after) -> after));
+        return last.values().stream().map(VersionReported::digest).distinct().count();
     }
 }
--- a/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
@@ -14,7 +14,7 @@
     @JsonSubTypes.Type(value = HistoryRecord.TokenReceived.class, name = "token"),
     @JsonSubTypes.Type(value = HistoryRecord.Response.class, name = "answer"),
     @JsonSubTypes.Type(value = HistoryRecord.Run.class, name = "run"),
-    @JsonSubTypes.Type(value = HistoryRecord.VersionSeen.class, name = "version"),
+    @JsonSubTypes.Type(value = HistoryRecord.VersionReported.class, name = "version"),
     @JsonSubTypes.Type(value = HistoryRecord.Leaving.class, name = "leaving"),
     @JsonSubTypes.Type(value = HistoryRecord.Stop.class, name = "stop"),
     @JsonSubTypes.Type(value = HistoryRecord.Fault.class, name = "fault")
@@ -111,7 +111,7 @@
      * @param version version of the document
      * @param digest digest of the document, or an empty string if it was not reported
      */
-    record VersionSeen(long atMs, String instance, long version, String digest) implements HistoryRecord {}
+    record VersionReported(long atMs, String instance, long version, String digest) implements HistoryRecord {}
 
     /**
      * A target was announced as leaving.
--- a/tools/src/main/java/org/verbenatally/history/InstanceRules.java
+++ b/tools/src/main/java/org/verbenatally/history/InstanceRules.java
@@ -9,7 +9,7 @@
 import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.Stop;
-import org.verbenatally.history.HistoryRecord.VersionSeen;
+import org.verbenatally.history.HistoryRecord.VersionReported;
 
 /** Rules on the behaviour of entry instances. */
 final class InstanceRules {
@@ -21,9 +21,9 @@
      */
     static List<String> configMonotonic(History history) {
         List<String> violations = new ArrayList<>();
-        history.groupBy(VersionSeen.class, VersionSeen::instance).forEach((instance, reports) -> {
-            VersionSeen highest = reports.getFirst();
-            for (VersionSeen report : reports) {
+        history.groupBy(VersionReported.class, VersionReported::instance).forEach((instance, reports) -> {
+            VersionReported highest = reports.getFirst();
+            for (VersionReported report : reports) {
                 boolean lower = report.version() < highest.version()
                         || (report.version() == highest.version()
                                 && report.digest().compareTo(highest.digest()) < 0);
--- a/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
+++ b/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
@@ -18,7 +18,7 @@
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.Stop;
 import org.verbenatally.history.HistoryRecord.TokenReceived;
-import org.verbenatally.history.HistoryRecord.VersionSeen;
+import org.verbenatally.history.HistoryRecord.VersionReported;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -129,13 +129,13 @@
                 violationCase(
                         "version decreased across a restart",
                         Rule.CONFIG_MONOTONIC,
-                        new VersionSeen(1, "e1", 5, "aa"),
-                        new VersionSeen(2, "e1", 4, "bb")),
+                        new VersionReported(1, "e1", 5, "aa"),
+                        new VersionReported(2, "e1", 4, "bb")),
                 violationCase(
                         "digest of the same version decreased",
                         Rule.CONFIG_MONOTONIC,
-                        new VersionSeen(1, "e1", 5, "bb"),
-                        new VersionSeen(2, "e1", 5, "aa")),
+                        new VersionReported(1, "e1", 5, "bb"),
+                        new VersionReported(2, "e1", 5, "aa")),
                 violationCase(
                         "stream cut off by a stop",
                         Rule.STOP_IS_GRACEFUL,
@@ -168,8 +168,8 @@
         records.add(end("r4", Outcome.UNKNOWN, -1, null));
         records.add(new Leaving(1, "t1"));
         records.add(new Stop(5, "e1"));
-        records.add(new VersionSeen(1, "e1", 4, "bb"));
-        records.add(new VersionSeen(2, "e1", 5, "aa"));
+        records.add(new VersionReported(1, "e1", 4, "bb"));
+        records.add(new VersionReported(2, "e1", 5, "aa"));
         return history(records.toArray(HistoryRecord[]::new));
     }
 
