--- a/tools/src/main/java/org/verbenatally/faults/DemoMain.java
+++ b/tools/src/main/java/org/verbenatally/faults/DemoMain.java
@@ -62,7 +62,7 @@
             HistoryReport report = new HistoryChecker().check(history);
             report.violations().forEach(violation -> System.out.println("demo: " + violation));
             System.out.println(summary(cluster, history, report, requests, preemptions));
-            return report.held() && report.counts().done() == requests;
+            return report.hasNoViolations() && report.counts().done() == requests;
         }
     }
 
@@ -108,9 +108,9 @@
                 .put("whole", counts.done())
                 .put("failed", requests - counts.done() - counts.unknown())
                 .put("unknown", counts.unknown())
-                .put("duplicated", report.broken(Rule.AT_MOST_ONCE))
-                .put("reordered", report.broken(Rule.TOKENS_ONCE))
-                .put("mixed", report.broken(Rule.ANSWERS_MATCH));
+                .put("duplicated", report.violationCount(Rule.AT_MOST_ONCE))
+                .put("reordered", report.violationCount(Rule.TOKENS_ONCE))
+                .put("mixed", report.violationCount(Rule.ANSWERS_MATCH));
         summary.setAll(new StreamTimings(history, levels.firstTokenMs(), levels.tokenGapMs()).json());
         return summary.put("preemptions", preemptions);
     }
--- a/tools/src/main/java/org/verbenatally/faults/FaultsMain.java
+++ b/tools/src/main/java/org/verbenatally/faults/FaultsMain.java
@@ -34,7 +34,7 @@
      * The result of a case.
      *
      * @param name name of the case
-     * @param held whether no invariant was broken and all expectations of the case were met
+     * @param held whether no invariant was violated and all expectations of the case were met
      * @param line text to print for the case
      */
     record CaseResult(String name, boolean held, String line) {}
@@ -132,7 +132,7 @@
             }
             History history = cluster.collectHistory();
             HistoryReport report = new HistoryChecker().check(history);
-            boolean held = report.held() && trial.failures().isEmpty();
+            boolean held = report.hasNoViolations() && trial.failures().isEmpty();
             StringBuilder line = new StringBuilder(faultCase.name())
                     .append(held ? " held " : " broken ")
                     .append(report.counts().summary());
--- a/tools/src/main/java/org/verbenatally/history/HistoryReport.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryReport.java
@@ -61,12 +61,12 @@
     }
 
     /** Returns whether the history violates no rule. */
-    public boolean held() {
+    public boolean hasNoViolations() {
         return violations.isEmpty();
     }
 
     /** Returns the number of violations of a rule. */
-    public long broken(Rule rule) {
+    public long violationCount(Rule rule) {
         return violations.stream().filter(violation -> violation.rule() == rule).count();
     }
 }
--- a/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
+++ b/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
@@ -155,7 +155,7 @@
     @MethodSource({"plantedAnswers", "plantedRuns"})
     void reportsPlantedViolation(String name, Rule rule, History history) {
         HistoryReport report = new HistoryChecker().check(history);
-        assertThat(report.broken(rule)).as(name).isPositive();
+        assertThat(report.violationCount(rule)).as(name).isPositive();
         assertThat(report.violations()).allMatch(violation -> violation.rule() == rule);
     }
 
