--- a/tools/src/main/java/org/verbenatally/faults/BenchCluster.java
+++ b/tools/src/main/java/org/verbenatally/faults/BenchCluster.java
@@ -43,7 +43,7 @@
     }
 
     /** Returns the addresses at which the entries listen for callers. */
-    public List<Address> entries() {
+    public List<Address> entryAddresses() {
         List<Address> addresses = new ArrayList<>();
         for (int i = 0; i < cluster.size(); i++) {
             addresses.add(cluster.callerAddress(i));
@@ -52,7 +52,7 @@
     }
 
     /** Returns the addresses at which the engines listen. */
-    public List<Address> engines() {
+    public List<Address> engineAddresses() {
         return deployment().targets().values().stream()
                 .filter(target -> target.type() == TargetType.ENGINE)
                 .map(target -> cluster.standins().address(target.id().value()))
--- a/tools/src/main/java/org/verbenatally/load/PolicyBench.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyBench.java
@@ -53,12 +53,13 @@
                 engineOverrides,
                 Map.of(PolicySuite.PROPERTY, policy))) {
             EngineOptions scaled = defaults.with(Map.of("kvTokens", (int) (defaults.kvTokens() * SCALE)));
-            double rate = load * workload.capacity(scaled, cluster.engines().size());
+            double rate =
+                    load * workload.capacity(scaled, cluster.engineAddresses().size());
             LoadOptions options = new LoadOptions(
                     workload,
                     Caller.of(cluster.deployment()),
-                    cluster.entries(),
-                    cluster.engines(),
+                    cluster.entryAddresses(),
+                    cluster.engineAddresses(),
                     rate,
                     plan.seconds(),
                     plan.seconds() / 4,
