--- a/tools/src/main/java/org/verbenatally/faults/Caller.java
+++ b/tools/src/main/java/org/verbenatally/faults/Caller.java
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Sends one request, resumes its stream when the connection breaks, and returns the recorded response. If an entry
-     * refuses the connection, the next entry is tried, as a load balancer would.
+     * Sends one copy of a work item, resumes its stream when the connection breaks, and returns the recorded response.
+     * If an entry refuses the connection, the next entry is tried, as a load balancer would.
      */
     Response send(WorkItem work, int entry) {
         String requestId = "r" + REQUEST_SERIAL.incrementAndGet();
--- a/tools/src/main/java/org/verbenatally/faults/KeyCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/KeyCases.java
@@ -8,7 +8,7 @@
 import org.verbenatally.core.Outcome;
 import org.verbenatally.history.HistoryRecord.Response;
 
-/** Cases with non-repeatable work: the owner of its key fails, or duplicate requests arrive at several entries. */
+/** Cases with non-repeatable work: the owner of its key fails, or copies of one work item arrive at several entries. */
 final class KeyCases {
     private static final int OWNER = 0;
 
@@ -31,12 +31,10 @@
     private static void ownerKilledBeforeCall(Trial trial) {
         WorkItem work = trial.keyedWork(OWNER);
         trial.cluster().killEntry(OWNER);
-        trial.expectOutcome(
-                trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "duplicate request after the owner was killed");
+        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "copy sent after the owner was killed");
         trial.cluster().restartEntry(OWNER);
         for (int entry = 0; entry < trial.cluster().size(); entry++) {
-            trial.expectOutcome(
-                    trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "duplicate request after the restart");
+            trial.expectOutcome(trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "copy sent after the restart");
         }
         trial.expect(trial.startCount(work) == 0, "the call was executed");
     }
@@ -48,25 +46,22 @@
         trial.await("the call has started", () -> trial.startCount(work) > 0);
         CompletableFuture<Response> second = trial.send(work, 2);
         trial.cluster().killEntry(OWNER);
-        trial.expectOutcome(trial.await(first), Outcome.UNKNOWN, "first request");
-        trial.expectOutcome(trial.await(second), Outcome.UNKNOWN, "second request");
+        trial.expectOutcome(trial.await(first), Outcome.UNKNOWN, "first copy");
+        trial.expectOutcome(trial.await(second), Outcome.UNKNOWN, "second copy");
         trial.cluster().restartEntry(OWNER);
         for (int entry = 0; entry < trial.cluster().size(); entry++) {
-            trial.expectOutcome(
-                    trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "duplicate request after the restart");
+            trial.expectOutcome(trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "copy sent after the restart");
         }
         trial.expect(trial.startCount(work) == 1, "the call was executed " + trial.startCount(work) + " times");
     }
 
     private static void ownerKilledAfterCall(Trial trial) {
         WorkItem work = trial.keyedWork(OWNER);
-        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.DONE, "first request");
+        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.DONE, "first copy");
         trial.cluster().killEntry(OWNER);
-        trial.expectOutcome(
-                trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "duplicate request after the owner was killed");
+        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "copy sent after the owner was killed");
         trial.cluster().restartEntry(OWNER);
-        trial.expectOutcome(
-                trial.await(trial.send(work, OWNER)), Outcome.UNKNOWN, "duplicate request after the restart");
+        trial.expectOutcome(trial.await(trial.send(work, OWNER)), Outcome.UNKNOWN, "copy sent after the restart");
     }
 
     private static void sameKeyAtAllEntries(Trial trial) {
@@ -76,7 +71,7 @@
             IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry)));
             IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry)));
         }
-        trial.expectAllDone(responses, "duplicate requests");
+        trial.expectAllDone(responses, "copies at all entries");
     }
 
     private static void sameKeyAcrossKills(Trial trial) {
@@ -110,7 +105,7 @@
                 .filter(response -> response.outcome() == Outcome.UNKNOWN)
                 .count();
         trial.recordFigure("unknown-copies", unknown);
-        trial.expect(unknown <= 12, unknown + " requests have an unknown outcome, but only 6 calls were affected");
+        trial.expect(unknown <= 12, unknown + " copies have an unknown outcome, but only 6 calls were affected");
     }
 
     private static void entryPaused(Trial trial, int pauseMs) {
--- a/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
@@ -26,7 +26,8 @@
     long atMs();
 
     /**
-     * A caller sent one copy of a work item.
+     * A caller sent one copy of a work item. A copy is one request for the work item under a request id of its own; the
+     * first request is a copy too.
      *
      * @param atMs time of sending, in wall clock milliseconds
      * @param request id of this copy, unique in the history; resumes of its stream belong to the same copy
