--- a/tools/src/main/java/org/verbenatally/standin/EngineStandin.java
+++ b/tools/src/main/java/org/verbenatally/standin/EngineStandin.java
@@ -75,7 +75,7 @@
     }
 
     /** Changes options by name at run time. */
-    public void change(Map<String, ?> changes) {
+    public void changeOptions(Map<String, ?> changes) {
         host.call(() -> options = OptionRecords.with(options, changes));
     }
 
--- a/tools/src/main/java/org/verbenatally/standin/ServiceStandin.java
+++ b/tools/src/main/java/org/verbenatally/standin/ServiceStandin.java
@@ -43,7 +43,7 @@
     }
 
     /** Changes options by name at run time. */
-    public void change(Map<String, ?> changes) {
+    public void changeOptions(Map<String, ?> changes) {
         host.call(() -> options = OptionRecords.with(options, changes));
     }
 
--- a/tools/src/test/java/org/verbenatally/standin/EngineStandinTest.java
+++ b/tools/src/test/java/org/verbenatally/standin/EngineStandinTest.java
@@ -128,7 +128,7 @@
         assertThat(TestHttp.send(port, "GET", "/v1/generations/" + id + "?from=0", "")
                         .statusCode())
                 .isEqualTo(status);
-        engine.change(Map.of("retainMs", 0));
+        engine.changeOptions(Map.of("retainMs", 0));
         TestHttp.waitUntil(() -> TestHttp.send(port, "GET", "/v1/generations/" + id + "?from=0", "")
                         .statusCode()
                 == 404);
