--- a/tools/src/main/java/org/verbenatally/standin/RelayAdmin.java
+++ b/tools/src/main/java/org/verbenatally/standin/RelayAdmin.java
@@ -36,7 +36,7 @@
         String route = request.method().name() + " " + request.path();
         switch (route) {
             case "POST /admin/cut" -> {
-                relay.cut();
+                relay.resetConnections();
                 respondNoContent(request);
             }
             case "POST /admin/heal" -> {
--- a/tools/src/main/java/org/verbenatally/standin/TcpRelay.java
+++ b/tools/src/main/java/org/verbenatally/standin/TcpRelay.java
@@ -50,7 +50,7 @@
     }
 
     /** Resets all open connections. */
-    public void cut() {
+    public void resetConnections() {
         connections.forEach(RelayConnection::reset);
     }
 
@@ -111,7 +111,7 @@
     @Override
     public synchronized void close() {
         closeListener();
-        cut();
+        resetConnections();
     }
 
     long delayMs() {
--- a/tools/src/test/java/org/verbenatally/standin/TcpRelayTest.java
+++ b/tools/src/test/java/org/verbenatally/standin/TcpRelayTest.java
@@ -78,10 +78,10 @@
     }
 
     @Test
-    void cutResetsOpenConnectionsOnly() throws Exception {
+    void resetsOpenConnectionsOnly() throws Exception {
         try (Socket existing = connect()) {
             assertThat(roundTrip(existing, 1)).isEqualTo(1);
-            relay.cut();
+            relay.resetConnections();
             assertThatThrownBy(() -> roundTrip(existing, 2)).isInstanceOf(SocketException.class);
             try (Socket fresh = connect()) {
                 assertThat(roundTrip(fresh, 3)).isEqualTo(3);
