--- a/tools/src/main/java/org/verbenatally/load/Call.java
+++ b/tools/src/main/java/org/verbenatally/load/Call.java
@@ -143,7 +143,7 @@
                 id,
                 result.outcome(),
                 result.status(),
-                record.type(),
+                record.problemType(),
                 record.generation(),
                 reportedTokens,
                 record.text()));
--- a/tools/src/main/java/org/verbenatally/load/CallRecord.java
+++ b/tools/src/main/java/org/verbenatally/load/CallRecord.java
@@ -29,7 +29,7 @@
     private int tokens;
     private Outcome outcome = Outcome.UNKNOWN;
     private int status;
-    private String type;
+    private String problemType;
     private String generation;
     private String key;
     private String text;
@@ -79,8 +79,8 @@
     }
 
     /** Returns the type of the last problem document, or {@code null}. */
-    public String type() {
-        return type;
+    public String problemType() {
+        return problemType;
     }
 
     /** Returns the id of the generation that the response named, or {@code null}. */
@@ -135,8 +135,8 @@
         violations.add(description);
     }
 
-    void setProblemType(String problemType) {
-        type = problemType;
+    void setProblemType(String value) {
+        problemType = value;
     }
 
     void setGeneration(String id) {
--- a/tools/src/main/java/org/verbenatally/load/RequestRow.java
+++ b/tools/src/main/java/org/verbenatally/load/RequestRow.java
@@ -83,7 +83,7 @@
                 record.tokens(),
                 finished ? record.outcome().text() : UNFINISHED,
                 record.status(),
-                record.type(),
+                record.problemType(),
                 record.sends().size() - resumes,
                 resumes,
                 record.violations().size(),
