--- a/tools/src/main/java/org/verbenatally/load/CallerClient.java
+++ b/tools/src/main/java/org/verbenatally/load/CallerClient.java
@@ -98,7 +98,8 @@
     }
 
     Address entry(int index) {
-        return options.entries().get(Math.floorMod(index, options.entries().size()));
+        return options.entryAddresses()
+                .get(Math.floorMod(index, options.entryAddresses().size()));
     }
 
     Exchange startExchange(Address entry, HttpMethod method, String path, Map<String, String> headers, Buffer body) {
--- a/tools/src/main/java/org/verbenatally/load/LoadOptions.java
+++ b/tools/src/main/java/org/verbenatally/load/LoadOptions.java
@@ -9,8 +9,8 @@
  *
  * @param workload kinds of work and their output lengths
  * @param callers organisations that send the load
- * @param entries entries that receive the load
- * @param engines engines whose load reports are read to count preemptions; may be empty
+ * @param entryAddresses addresses of the entries that receive the load
+ * @param engineAddresses addresses of the engines whose load reports are read to count preemptions; may be empty
  * @param rate mean request rate over all kinds, in requests a second, excluding the additional requests of bursts of a
  *     single organisation
  * @param seconds time during which requests arrive, in seconds
@@ -28,8 +28,8 @@
 public record LoadOptions(
         Workload workload,
         List<Caller> callers,
-        List<Address> entries,
-        List<Address> engines,
+        List<Address> entryAddresses,
+        List<Address> engineAddresses,
         double rate,
         int seconds,
         int warmupSeconds,
@@ -45,16 +45,30 @@
      * Returns the options of a run of 60 s after 10 s of warm-up, with bursts of all organisations to twice the rate
      * for 4 s every 20 s, and a wait of up to 60 s for open requests.
      */
-    public static LoadOptions of(Workload workload, List<Address> entries, List<Address> engines, double rate) {
+    public static LoadOptions of(
+            Workload workload, List<Address> entryAddresses, List<Address> engineAddresses, double rate) {
         return new LoadOptions(
-                workload, Caller.tenWithThreeLarge(), entries, engines, rate, 70, 10, 60, 1, 2, 4, 20, "", false);
+                workload,
+                Caller.tenWithThreeLarge(),
+                entryAddresses,
+                engineAddresses,
+                rate,
+                70,
+                10,
+                60,
+                1,
+                2,
+                4,
+                20,
+                "",
+                false);
     }
 
     /** Checks that the values are in range. */
     public LoadOptions {
         callers = List.copyOf(callers);
-        entries = List.copyOf(entries);
-        engines = List.copyOf(engines);
+        entryAddresses = List.copyOf(entryAddresses);
+        engineAddresses = List.copyOf(engineAddresses);
         if (!(rate > 0) || seconds < 1 || warmupSeconds < 0 || warmupSeconds >= seconds || drainSeconds < 0) {
             throw new IllegalArgumentException("rate and seconds must be positive, and warm-up shorter than the run");
         }
--- a/tools/src/main/java/org/verbenatally/load/LoadRun.java
+++ b/tools/src/main/java/org/verbenatally/load/LoadRun.java
@@ -65,8 +65,8 @@
      */
     public LoadResult run() {
         List<Arrival> plan = ArrivalPlan.of(options);
-        try (EngineReports reports = new EngineReports(options.engines());
-                CallerClient client = new CallerClient(CallerOptions.defaults(options.entries()), history)) {
+        try (EngineReports reports = new EngineReports(options.engineAddresses());
+                CallerClient client = new CallerClient(CallerOptions.defaults(options.entryAddresses()), history)) {
             reports.read();
             long start = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(50);
             nextProgressNanos = start + PROGRESS_PERIOD_NANOS;
@@ -198,7 +198,7 @@
                 .put("burstSeconds", options.burstSeconds())
                 .put("burstEverySeconds", options.burstEverySeconds())
                 .put("burstOrganisation", options.burstOrganisation())
-                .put("entries", options.entries().size())
-                .put("engines", options.engines().size());
+                .put("entries", options.entryAddresses().size())
+                .put("engines", options.engineAddresses().size());
     }
 }
--- a/tools/src/test/java/org/verbenatally/load/LoadRunTest.java
+++ b/tools/src/test/java/org/verbenatally/load/LoadRunTest.java
@@ -27,8 +27,8 @@
         return new LoadOptions(
                 base.workload(),
                 base.callers(),
-                base.entries(),
-                base.engines(),
+                base.entryAddresses(),
+                base.engineAddresses(),
                 base.rate(),
                 2,
                 0,
