--- a/tools/src/main/java/org/verbenatally/faults/PlatformCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/PlatformCases.java
@@ -155,7 +155,7 @@
 
     /** Returns the number of different documents that the entries have in force. */
     private static long distinctDigests(Trial trial) {
-        Map<String, VersionReported> last = trial.cluster().history().all(VersionReported.class).stream()
+        Map<String, VersionReported> last = trial.cluster().history().recordsOfType(VersionReported.class).stream()
                 .collect(Collectors.toMap(VersionReported::instance, report -> report, (before, after) -> after));
         return last.values().stream().map(VersionReported::digest).distinct().count();
     }
--- a/tools/src/main/java/org/verbenatally/faults/StreamCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/StreamCases.java
@@ -82,7 +82,7 @@
         int tokens = 60;
         var responses = sendUntilStartedOnEngine(trial, tokens);
         trial.await("one of the last two tokens of a stream", () -> {
-            Set<String> lastGenerations = trial.cluster().history().all(TokenReceived.class).stream()
+            Set<String> lastGenerations = trial.cluster().history().recordsOfType(TokenReceived.class).stream()
                     .filter(token -> token.offset() >= tokens - 2)
                     .map(TokenReceived::generation)
                     .collect(Collectors.toSet());
--- a/tools/src/main/java/org/verbenatally/faults/StreamTimings.java
+++ b/tools/src/main/java/org/verbenatally/faults/StreamTimings.java
@@ -28,9 +28,9 @@
      */
     StreamTimings(History history, int firstTokenMs, int tokenGapMs) {
         Map<String, Long> sentAtMs = new HashMap<>();
-        history.all(Sent.class).forEach(each -> sentAtMs.put(each.request(), each.atMs()));
+        history.recordsOfType(Sent.class).forEach(each -> sentAtMs.put(each.request(), each.atMs()));
         Map<String, List<TokenReceived>> streams = new HashMap<>();
-        history.all(TokenReceived.class)
+        history.recordsOfType(TokenReceived.class)
                 .forEach(token -> streams.computeIfAbsent(token.request(), each -> new java.util.ArrayList<>())
                         .add(token));
         streams.forEach((request, tokens) -> {
--- a/tools/src/main/java/org/verbenatally/faults/Trial.java
+++ b/tools/src/main/java/org/verbenatally/faults/Trial.java
@@ -190,7 +190,7 @@
 
     /** Expects that every response in the history has a known outcome. */
     void expectAllOutcomesKnown() {
-        List<Response> unknown = cluster.history().all(Response.class).stream()
+        List<Response> unknown = cluster.history().recordsOfType(Response.class).stream()
                 .filter(response -> response.outcome() == null || response.outcome() == Outcome.UNKNOWN)
                 .toList();
         expect(
@@ -213,7 +213,7 @@
         int expected = streamCount.get();
         await(
                 tokens + " tokens of " + expected + " streams",
-                () -> cluster.history().all(TokenReceived.class).stream()
+                () -> cluster.history().recordsOfType(TokenReceived.class).stream()
                                 .collect(Collectors.groupingBy(TokenReceived::request, Collectors.counting()))
                                 .values()
                                 .stream()
--- a/tools/src/main/java/org/verbenatally/history/History.java
+++ b/tools/src/main/java/org/verbenatally/history/History.java
@@ -48,13 +48,13 @@
     }
 
     /** Returns the records of one type in the order in which they were added. */
-    public <T extends HistoryRecord> List<T> all(Class<T> type) {
+    public <T extends HistoryRecord> List<T> recordsOfType(Class<T> type) {
         return records().stream().filter(type::isInstance).map(type::cast).toList();
     }
 
     /** Returns the records of one type grouped by a property, without those for which the property is {@code null}. */
     <T extends HistoryRecord> Map<String, List<T>> groupBy(Class<T> type, Function<T, String> property) {
-        return all(type).stream()
+        return recordsOfType(type).stream()
                 .filter(found -> property.apply(found) != null)
                 .collect(Collectors.groupingBy(property, LinkedHashMap::new, Collectors.toList()));
     }
--- a/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryChecker.java
@@ -38,11 +38,12 @@
     }
 
     private static HistoryReport.Counts count(History history) {
-        List<Sent> sent = history.all(Sent.class);
+        List<Sent> sent = history.recordsOfType(Sent.class);
         Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
         Set<String> nonRepeatable =
                 sent.stream().filter(copy -> !copy.repeatable()).map(Sent::work).collect(Collectors.toSet());
-        Set<String> executed = history.all(Run.class).stream().map(Run::work).collect(Collectors.toSet());
+        Set<String> executed =
+                history.recordsOfType(Run.class).stream().map(Run::work).collect(Collectors.toSet());
         executed.retainAll(nonRepeatable);
         Set<String> unknown = new HashSet<>(nonRepeatable);
         sent.stream()
--- a/tools/src/main/java/org/verbenatally/history/InstanceRules.java
+++ b/tools/src/main/java/org/verbenatally/history/InstanceRules.java
@@ -50,9 +50,9 @@
     static List<String> stopIsGraceful(History history) {
         Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
         Map<String, List<Sent>> copiesByEntry = history.groupBy(Sent.class, Sent::entry);
-        List<Fault> faults = history.all(Fault.class);
+        List<Fault> faults = history.recordsOfType(Fault.class);
         List<String> violations = new ArrayList<>();
-        for (Stop stop : history.all(Stop.class)) {
+        for (Stop stop : history.recordsOfType(Stop.class)) {
             for (Sent copy : copiesByEntry.getOrDefault(stop.instance(), List.of())) {
                 List<Response> copyResponses = responsesByRequest.getOrDefault(copy.request(), List.of());
                 if (copyResponses.isEmpty()) {
--- a/tools/src/main/java/org/verbenatally/history/ResponseRules.java
+++ b/tools/src/main/java/org/verbenatally/history/ResponseRules.java
@@ -45,10 +45,10 @@
         List<String> violations = new ArrayList<>();
         Map<String, List<Run>> runsByWork = history.groupBy(Run.class, Run::work);
         Map<String, Run> runsById = new HashMap<>();
-        history.all(Run.class).forEach(run -> runsById.put(run.run(), run));
+        history.recordsOfType(Run.class).forEach(run -> runsById.put(run.run(), run));
         Map<String, List<TokenReceived>> tokensByRequest = history.groupBy(TokenReceived.class, TokenReceived::request);
         Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
-        for (Sent sent : history.all(Sent.class)) {
+        for (Sent sent : history.recordsOfType(Sent.class)) {
             List<Response> requestResponses = responsesByRequest.getOrDefault(sent.request(), List.of());
             if (requestResponses.size() > 1) {
                 violations.add("request %s was answered %d times".formatted(sent.request(), requestResponses.size()));
--- a/tools/src/main/java/org/verbenatally/history/RunRules.java
+++ b/tools/src/main/java/org/verbenatally/history/RunRules.java
@@ -33,7 +33,7 @@
      */
     static List<String> notRunHeld(History history) {
         List<String> violations = new ArrayList<>();
-        Set<String> notRunRequests = history.all(Response.class).stream()
+        Set<String> notRunRequests = history.recordsOfType(Response.class).stream()
                 .filter(response -> response.outcome() == Outcome.NOT_RUN)
                 .map(Response::request)
                 .collect(Collectors.toSet());
@@ -58,7 +58,7 @@
     /** Reports non-repeatable work that ran more than once. */
     static List<String> atMostOnce(History history) {
         Set<String> nonRepeatable = new HashSet<>();
-        history.all(Sent.class).stream()
+        history.recordsOfType(Sent.class).stream()
                 .filter(sent -> !sent.repeatable())
                 .forEach(sent -> nonRepeatable.add(sent.work()));
         List<String> violations = new ArrayList<>();
@@ -77,9 +77,9 @@
     /** Reports runs that a target started more than {@link #LEAVING_BOUND_MS} after it was announced as leaving. */
     static List<String> leavingRests(History history) {
         Map<String, Long> leavingSinceMs = new HashMap<>();
-        history.all(Leaving.class)
+        history.recordsOfType(Leaving.class)
                 .forEach(leaving -> leavingSinceMs.merge(leaving.target(), leaving.atMs(), Math::min));
-        return history.all(Run.class).stream()
+        return history.recordsOfType(Run.class).stream()
                 .filter(run -> leavingSinceMs.containsKey(run.target()))
                 .filter(run -> run.atMs() > leavingSinceMs.get(run.target()) + LEAVING_BOUND_MS)
                 .map(run -> "target %s started %s %d ms after it was announced as leaving"
