--- a/tools/src/main/java/org/verbenatally/history/HistoryReport.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryReport.java
@@ -20,9 +20,9 @@
      * @param unknown copies answered with {@code unknown}
      * @param lost copies whose connection ended without a response
      * @param open copies that were still open when the history ended
-     * @param onceOnly non-repeatable work items that were sent
-     * @param onceOnlyRan non-repeatable work items that ran
-     * @param onceOnlyUnknown non-repeatable work items whose outcome was not reported to any caller
+     * @param nonRepeatable non-repeatable work items that were sent
+     * @param nonRepeatableRan non-repeatable work items that ran
+     * @param nonRepeatableUnknown non-repeatable work items whose outcome was not reported to any caller
      */
     public record Counts(
             long requests,
@@ -31,9 +31,9 @@
             long unknown,
             long lost,
             long open,
-            long onceOnly,
-            long onceOnlyRan,
-            long onceOnlyUnknown) {
+            long nonRepeatable,
+            long nonRepeatableRan,
+            long nonRepeatableUnknown) {
 
         /**
          * Returns the counts as {@code name=value} pairs. If non-repeatable work was sent, adds its count and the
@@ -42,16 +42,16 @@
         public String summary() {
             String outcomes = "requests=%d done=%d not-run=%d unknown=%d lost=%d open=%d"
                     .formatted(requests, done, notRun, unknown, lost, open);
-            if (onceOnly == 0) {
+            if (nonRepeatable == 0) {
                 return outcomes;
             }
             return outcomes
                     + String.format(
                             Locale.ROOT,
                             " once-only=%d ran-share=%.3f unknown-share=%.3f",
-                            onceOnly,
-                            (double) onceOnlyRan / onceOnly,
-                            (double) onceOnlyUnknown / onceOnly);
+                            nonRepeatable,
+                            (double) nonRepeatableRan / nonRepeatable,
+                            (double) nonRepeatableUnknown / nonRepeatable);
         }
     }
 
