--- a/tools/src/main/java/org/verbenatally/faults/KeyCases.java
+++ b/tools/src/main/java/org/verbenatally/faults/KeyCases.java
@@ -6,9 +6,9 @@
 import java.util.stream.IntStream;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 
-/** Cases with non-repeatable work: the owner of its key fails, or duplicate requests arrive at several entries. */
+/** Cases with non-repeatable work: the owner of its key fails, or copies of one work item arrive at several entries. */
 final class KeyCases {
     private static final int OWNER = 0;
 
@@ -31,12 +31,10 @@
     private static void ownerKilledBeforeCall(Trial trial) {
         WorkItem work = trial.keyedWork(OWNER);
         trial.cluster().killEntry(OWNER);
-        trial.expectOutcome(
-                trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "duplicate request after the owner was killed");
+        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "copy sent after the owner was killed");
         trial.cluster().restartEntry(OWNER);
         for (int entry = 0; entry < trial.cluster().size(); entry++) {
-            trial.expectOutcome(
-                    trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "duplicate request after the restart");
+            trial.expectOutcome(trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "copy sent after the restart");
         }
         trial.expect(trial.startCount(work) == 0, "the call was executed");
     }
@@ -44,45 +42,42 @@
     private static void ownerKilledDuringCall(Trial trial) {
         trial.changeServiceOptions("{\"serviceMs\":3000}");
         WorkItem work = trial.keyedWork(OWNER);
-        CompletableFuture<Answer> first = trial.send(work, 1);
+        CompletableFuture<Response> first = trial.send(work, 1);
         trial.await("the call has started", () -> trial.startCount(work) > 0);
-        CompletableFuture<Answer> second = trial.send(work, 2);
+        CompletableFuture<Response> second = trial.send(work, 2);
         trial.cluster().killEntry(OWNER);
-        trial.expectOutcome(trial.await(first), Outcome.UNKNOWN, "first request");
-        trial.expectOutcome(trial.await(second), Outcome.UNKNOWN, "second request");
+        trial.expectOutcome(trial.await(first), Outcome.UNKNOWN, "first copy");
+        trial.expectOutcome(trial.await(second), Outcome.UNKNOWN, "second copy");
         trial.cluster().restartEntry(OWNER);
         for (int entry = 0; entry < trial.cluster().size(); entry++) {
-            trial.expectOutcome(
-                    trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "duplicate request after the restart");
+            trial.expectOutcome(trial.await(trial.send(work, entry)), Outcome.UNKNOWN, "copy sent after the restart");
         }
         trial.expect(trial.startCount(work) == 1, "the call was executed " + trial.startCount(work) + " times");
     }
 
     private static void ownerKilledAfterCall(Trial trial) {
         WorkItem work = trial.keyedWork(OWNER);
-        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.DONE, "first request");
+        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.DONE, "first copy");
         trial.cluster().killEntry(OWNER);
-        trial.expectOutcome(
-                trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "duplicate request after the owner was killed");
+        trial.expectOutcome(trial.await(trial.send(work, 1)), Outcome.UNKNOWN, "copy sent after the owner was killed");
         trial.cluster().restartEntry(OWNER);
-        trial.expectOutcome(
-                trial.await(trial.send(work, OWNER)), Outcome.UNKNOWN, "duplicate request after the restart");
+        trial.expectOutcome(trial.await(trial.send(work, OWNER)), Outcome.UNKNOWN, "copy sent after the restart");
     }
 
     private static void sameKeyAtAllEntries(Trial trial) {
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             WorkItem work = trial.keyedWork(i % 3);
             IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry)));
             IntStream.range(0, 3).forEach(entry -> responses.add(trial.send(work, entry)));
         }
-        trial.expectAllDone(responses, "duplicate requests");
+        trial.expectAllDone(responses, "copies at all entries");
     }
 
     private static void sameKeyAcrossKills(Trial trial) {
         trial.changeServiceOptions("{\"serviceMs\":300}");
         List<WorkItem> workItems = new ArrayList<>();
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int killedEntry = 0; killedEntry < trial.cluster().size(); killedEntry++) {
             for (int issuer = 0; issuer < trial.cluster().size(); issuer++) {
                 workItems.add(trial.keyedWork(issuer));
@@ -100,7 +95,7 @@
 
     private static void serviceBreaksAfterRun(Trial trial) {
         trial.changeServiceOptions("{\"fault\":\"reset-after-run\",\"faultCount\":2}");
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 10; i++) {
             WorkItem work = trial.keyedWork(i % 3);
             responses.add(trial.send(work, 0));
@@ -110,7 +105,7 @@
                 .filter(response -> response.outcome() == Outcome.UNKNOWN)
                 .count();
         trial.recordFigure("unknown-copies", unknown);
-        trial.expect(unknown <= 12, unknown + " requests have an unknown outcome, but only 6 calls were affected");
+        trial.expect(unknown <= 12, unknown + " copies have an unknown outcome, but only 6 calls were affected");
     }
 
     private static void entryPaused(Trial trial, int pauseMs) {
@@ -119,7 +114,7 @@
         var streamResponses = trial.sendStreams(4, 300, OWNER);
         trial.awaitTokensOfEachStream(1);
         List<WorkItem> workItems = new ArrayList<>();
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         IntStream.range(0, 6).forEach(i -> workItems.add(trial.keyedWork(OWNER)));
         workItems.forEach(work -> responses.add(trial.send(work, 1)));
         trial.cluster().recordFault("pause", trial.cluster().entryName(OWNER));
@@ -142,7 +137,7 @@
 
     private static void lateResponses(Trial trial) {
         trial.changeServiceOptions("{\"jitterMs\":1800}");
-        List<CompletableFuture<Answer>> responses = new ArrayList<>();
+        List<CompletableFuture<Response>> responses = new ArrayList<>();
         for (int i = 0; i < 90; i++) {
             responses.add(trial.send(i % 2 == 0 ? trial.idempotentWork() : trial.keyedWork(i % 3), (i / 2) % 3));
         }
--- a/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
+++ b/tools/src/main/java/org/verbenatally/history/HistoryRecord.java
@@ -11,10 +11,10 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "record")
 @JsonSubTypes({
     @JsonSubTypes.Type(value = HistoryRecord.Sent.class, name = "sent"),
-    @JsonSubTypes.Type(value = HistoryRecord.TokenSeen.class, name = "token"),
-    @JsonSubTypes.Type(value = HistoryRecord.Answer.class, name = "answer"),
+    @JsonSubTypes.Type(value = HistoryRecord.TokenReceived.class, name = "token"),
+    @JsonSubTypes.Type(value = HistoryRecord.Response.class, name = "answer"),
     @JsonSubTypes.Type(value = HistoryRecord.Run.class, name = "run"),
-    @JsonSubTypes.Type(value = HistoryRecord.VersionSeen.class, name = "version"),
+    @JsonSubTypes.Type(value = HistoryRecord.VersionReported.class, name = "version"),
     @JsonSubTypes.Type(value = HistoryRecord.Leaving.class, name = "leaving"),
     @JsonSubTypes.Type(value = HistoryRecord.Stop.class, name = "stop"),
     @JsonSubTypes.Type(value = HistoryRecord.Fault.class, name = "fault")
@@ -26,7 +26,8 @@
     long atMs();
 
     /**
-     * A caller sent one copy of a work item.
+     * A caller sent one copy of a work item. A copy is one request for the work item under a request id of its own; the
+     * first request is a copy too.
      *
      * @param atMs time of sending, in wall clock milliseconds
      * @param request id of this copy, unique in the history; resumes of its stream belong to the same copy
@@ -63,7 +64,8 @@
      * @param offset position of the token in the generation, as given by the event id
      * @param text text of the token
      */
-    record TokenSeen(long atMs, String request, String generation, long offset, String text) implements HistoryRecord {}
+    record TokenReceived(long atMs, String request, String generation, long offset, String text)
+            implements HistoryRecord {}
 
     /**
      * A caller received the end of a response, or stopped waiting for it.
@@ -77,7 +79,7 @@
      * @param tokens number of tokens reported at the end of the stream, or -1
      * @param text body of a complete response, or {@code null}
      */
-    record Answer(
+    record Response(
             long atMs,
             String request,
             Outcome outcome,
@@ -110,7 +112,7 @@
      * @param version version of the document
      * @param digest digest of the document, or an empty string if it was not reported
      */
-    record VersionSeen(long atMs, String instance, long version, String digest) implements HistoryRecord {}
+    record VersionReported(long atMs, String instance, long version, String digest) implements HistoryRecord {}
 
     /**
      * A target was announced as leaving.
--- a/tools/src/main/java/org/verbenatally/history/InstanceRules.java
+++ b/tools/src/main/java/org/verbenatally/history/InstanceRules.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.Fault;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.Stop;
-import org.verbenatally.history.HistoryRecord.VersionSeen;
+import org.verbenatally.history.HistoryRecord.VersionReported;
 
 /** Rules on the behaviour of entry instances. */
 final class InstanceRules {
@@ -21,9 +21,9 @@
      */
     static List<String> configMonotonic(History history) {
         List<String> violations = new ArrayList<>();
-        history.groupBy(VersionSeen.class, VersionSeen::instance).forEach((instance, reports) -> {
-            VersionSeen highest = reports.getFirst();
-            for (VersionSeen report : reports) {
+        history.groupBy(VersionReported.class, VersionReported::instance).forEach((instance, reports) -> {
+            VersionReported highest = reports.getFirst();
+            for (VersionReported report : reports) {
                 boolean lower = report.version() < highest.version()
                         || (report.version() == highest.version()
                                 && report.digest().compareTo(highest.digest()) < 0);
@@ -48,19 +48,19 @@
      * count as cut off.
      */
     static List<String> stopIsGraceful(History history) {
-        Map<String, List<Answer>> answersByRequest = history.groupBy(Answer.class, Answer::request);
+        Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
         Map<String, List<Sent>> copiesByEntry = history.groupBy(Sent.class, Sent::entry);
-        List<Fault> faults = history.all(Fault.class);
+        List<Fault> faults = history.recordsOfType(Fault.class);
         List<String> violations = new ArrayList<>();
-        for (Stop stop : history.all(Stop.class)) {
+        for (Stop stop : history.recordsOfType(Stop.class)) {
             for (Sent copy : copiesByEntry.getOrDefault(stop.instance(), List.of())) {
-                List<Answer> copyAnswers = answersByRequest.getOrDefault(copy.request(), List.of());
-                if (copyAnswers.isEmpty()) {
+                List<Response> copyResponses = responsesByRequest.getOrDefault(copy.request(), List.of());
+                if (copyResponses.isEmpty()) {
                     violations.add("request %s at %s was open when the history ended"
                             .formatted(copy.request(), stop.instance()));
                     continue;
                 }
-                Answer last = copyAnswers.getLast();
+                Response last = copyResponses.getLast();
                 boolean openAtStop = last.atMs() >= stop.atMs();
                 boolean interrupted = last.outcome() == null || last.outcome() == Outcome.UNKNOWN;
                 boolean openAtFault =
--- a/tools/src/main/java/org/verbenatally/history/AnswerRules.java
+++ b/tools/src/main/java/org/verbenatally/history/ResponseRules.java
@@ -8,22 +8,22 @@
 import java.util.stream.Collectors;
 
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
 
 /** Rules on the responses that callers received. */
-final class AnswerRules {
-    private AnswerRules() {}
+final class ResponseRules {
+    private ResponseRules() {}
 
     /** Reports tokens of a request that are missing, duplicated, out of order or from a second generation. */
     static List<String> tokensOnce(History history) {
         List<String> violations = new ArrayList<>();
-        history.groupBy(TokenSeen.class, TokenSeen::request).forEach((request, tokens) -> {
+        history.groupBy(TokenReceived.class, TokenReceived::request).forEach((request, tokens) -> {
             String generation = tokens.getFirst().generation();
             long next = 0;
-            for (TokenSeen token : tokens) {
+            for (TokenReceived token : tokens) {
                 if (!Objects.equals(generation, token.generation())) {
                     violations.add("request %s received tokens of generations %s and %s"
                             .formatted(request, generation, token.generation()));
@@ -45,20 +45,20 @@
         List<String> violations = new ArrayList<>();
         Map<String, List<Run>> runsByWork = history.groupBy(Run.class, Run::work);
         Map<String, Run> runsById = new HashMap<>();
-        history.all(Run.class).forEach(run -> runsById.put(run.run(), run));
-        Map<String, List<TokenSeen>> tokensByRequest = history.groupBy(TokenSeen.class, TokenSeen::request);
-        Map<String, List<Answer>> answersByRequest = history.groupBy(Answer.class, Answer::request);
-        for (Sent sent : history.all(Sent.class)) {
-            List<Answer> requestAnswers = answersByRequest.getOrDefault(sent.request(), List.of());
-            if (requestAnswers.size() > 1) {
-                violations.add("request %s was answered %d times".formatted(sent.request(), requestAnswers.size()));
+        history.recordsOfType(Run.class).forEach(run -> runsById.put(run.run(), run));
+        Map<String, List<TokenReceived>> tokensByRequest = history.groupBy(TokenReceived.class, TokenReceived::request);
+        Map<String, List<Response>> responsesByRequest = history.groupBy(Response.class, Response::request);
+        for (Sent sent : history.recordsOfType(Sent.class)) {
+            List<Response> requestResponses = responsesByRequest.getOrDefault(sent.request(), List.of());
+            if (requestResponses.size() > 1) {
+                violations.add("request %s was answered %d times".formatted(sent.request(), requestResponses.size()));
             }
             if (sent.streamed()) {
-                List<TokenSeen> receivedTokens = tokensByRequest.getOrDefault(sent.request(), List.of());
-                checkStream(sent, receivedTokens, requestAnswers, runsById, violations);
-            } else if (!requestAnswers.isEmpty() && requestAnswers.getLast().outcome() == Outcome.DONE) {
-                checkCompleteAnswer(
-                        sent, requestAnswers.getLast(), runsByWork.getOrDefault(sent.work(), List.of()), violations);
+                List<TokenReceived> receivedTokens = tokensByRequest.getOrDefault(sent.request(), List.of());
+                checkStream(sent, receivedTokens, requestResponses, runsById, violations);
+            } else if (!requestResponses.isEmpty() && requestResponses.getLast().outcome() == Outcome.DONE) {
+                checkCompleteResponse(
+                        sent, requestResponses.getLast(), runsByWork.getOrDefault(sent.work(), List.of()), violations);
             }
         }
         return violations;
@@ -66,14 +66,14 @@
 
     private static void checkStream(
             Sent sent,
-            List<TokenSeen> receivedTokens,
-            List<Answer> requestAnswers,
+            List<TokenReceived> receivedTokens,
+            List<Response> requestResponses,
             Map<String, Run> runsById,
             List<String> violations) {
-        boolean done = !requestAnswers.isEmpty() && requestAnswers.getLast().outcome() == Outcome.DONE;
-        if (done && requestAnswers.getLast().tokens() != receivedTokens.size()) {
+        boolean done = !requestResponses.isEmpty() && requestResponses.getLast().outcome() == Outcome.DONE;
+        if (done && requestResponses.getLast().tokens() != receivedTokens.size()) {
             violations.add("the stream of request %s ended with a count of %d tokens but delivered %d"
-                    .formatted(sent.request(), requestAnswers.getLast().tokens(), receivedTokens.size()));
+                    .formatted(sent.request(), requestResponses.getLast().tokens(), receivedTokens.size()));
         }
         if (receivedTokens.isEmpty()) {
             return;
@@ -92,21 +92,21 @@
             violations.add("request %s received %d of %d tokens"
                     .formatted(sent.request(), receivedTokens.size(), run.tokens()));
         }
-        String text = receivedTokens.stream().map(TokenSeen::text).collect(Collectors.joining());
+        String text = receivedTokens.stream().map(TokenReceived::text).collect(Collectors.joining());
         if (run.text() != null && !run.text().startsWith(text)) {
             violations.add(
                     "request %s received text that differs from generation %s".formatted(sent.request(), run.run()));
         }
     }
 
-    private static void checkCompleteAnswer(Sent sent, Answer answer, List<Run> runs, List<String> violations) {
+    private static void checkCompleteResponse(Sent sent, Response response, List<Run> runs, List<String> violations) {
         if (runs.isEmpty()) {
             violations.add("request %s was answered with done although no target ran work %s"
                     .formatted(sent.request(), sent.work()));
             return;
         }
         boolean matched =
-                runs.stream().anyMatch(run -> run.text() == null || run.text().equals(answer.text()));
+                runs.stream().anyMatch(run -> run.text() == null || run.text().equals(response.text()));
         if (!matched) {
             violations.add("request %s received a response that no run of work %s produced"
                     .formatted(sent.request(), sent.work()));
--- a/tools/src/main/java/org/verbenatally/load/Call.java
+++ b/tools/src/main/java/org/verbenatally/load/Call.java
@@ -138,12 +138,12 @@
                 headers,
                 request.body().toBuffer());
         CopyResult result = readResponse(exchange, id);
-        client.recordHistory(new HistoryRecord.Answer(
+        client.recordHistory(new HistoryRecord.Response(
                 System.currentTimeMillis(),
                 id,
                 result.outcome(),
                 result.status(),
-                record.type(),
+                record.problemType(),
                 record.generation(),
                 reportedTokens,
                 record.text()));
@@ -184,7 +184,7 @@
             int count = response.getInteger(
                     "tokens", (int) generated.chars().filter(c -> c == ' ').count());
             record.setCompleteBody(generated, count);
-            if (!TokenText.isWhole(generated, new GenerationId(generation), count)) {
+            if (!TokenText.isComplete(generated, new GenerationId(generation), count)) {
                 record.addViolation("complete response is not exactly one complete generation");
             }
         } else {
@@ -308,7 +308,7 @@
         }
         record.addToken(nanos);
         client.recordHistory(
-                new HistoryRecord.TokenSeen(System.currentTimeMillis(), id, record.generation(), offset, text));
+                new HistoryRecord.TokenReceived(System.currentTimeMillis(), id, record.generation(), offset, text));
     }
 
     /** Reads a response to its end. Returns its status, or 0 if it did not arrive completely. */
--- a/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
+++ b/tools/src/test/java/org/verbenatally/history/HistoryCheckerTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.verbenatally.core.Outcome;
-import org.verbenatally.history.HistoryRecord.Answer;
 import org.verbenatally.history.HistoryRecord.Fault;
 import org.verbenatally.history.HistoryRecord.Leaving;
+import org.verbenatally.history.HistoryRecord.Response;
 import org.verbenatally.history.HistoryRecord.Run;
 import org.verbenatally.history.HistoryRecord.Sent;
 import org.verbenatally.history.HistoryRecord.Stop;
-import org.verbenatally.history.HistoryRecord.TokenSeen;
-import org.verbenatally.history.HistoryRecord.VersionSeen;
+import org.verbenatally.history.HistoryRecord.TokenReceived;
+import org.verbenatally.history.HistoryRecord.VersionReported;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -35,11 +35,11 @@
     private static final HistoryRecord BOOKING_DONE = end("r2", Outcome.DONE, -1, "ok w2");
 
     private static HistoryRecord token(String request, String generation, long offset, String text) {
-        return new TokenSeen(4, request, generation, offset, text);
+        return new TokenReceived(4, request, generation, offset, text);
     }
 
     private static HistoryRecord end(String request, Outcome outcome, long tokens, String text) {
-        return new Answer(10, request, outcome, 200, null, null, tokens, text);
+        return new Response(10, request, outcome, 200, null, null, tokens, text);
     }
 
     private static History history(HistoryRecord... records) {
@@ -87,13 +87,13 @@
                         new Run(2, "t1", "g1", "w9", true, 2, "ab"),
                         FIRST),
                 violationCase(
-                        "answer to other work",
+                        "response to other work",
                         Rule.ANSWERS_MATCH,
                         BOOKING,
                         BOOKING_RUN,
                         end("r2", Outcome.DONE, -1, "ok w9")),
-                violationCase("answer without a run", Rule.ANSWERS_MATCH, BOOKING, BOOKING_DONE),
-                violationCase("two answers", Rule.ANSWERS_MATCH, BOOKING, BOOKING_RUN, BOOKING_DONE, BOOKING_DONE));
+                violationCase("response without a run", Rule.ANSWERS_MATCH, BOOKING, BOOKING_DONE),
+                violationCase("two responses", Rule.ANSWERS_MATCH, BOOKING, BOOKING_RUN, BOOKING_DONE, BOOKING_DONE));
     }
 
     static Stream<Arguments> plantedRuns() {
@@ -129,13 +129,13 @@
                 violationCase(
                         "version decreased across a restart",
                         Rule.CONFIG_MONOTONIC,
-                        new VersionSeen(1, "e1", 5, "aa"),
-                        new VersionSeen(2, "e1", 4, "bb")),
+                        new VersionReported(1, "e1", 5, "aa"),
+                        new VersionReported(2, "e1", 4, "bb")),
                 violationCase(
                         "digest of the same version decreased",
                         Rule.CONFIG_MONOTONIC,
-                        new VersionSeen(1, "e1", 5, "bb"),
-                        new VersionSeen(2, "e1", 5, "aa")),
+                        new VersionReported(1, "e1", 5, "bb"),
+                        new VersionReported(2, "e1", 5, "aa")),
                 violationCase(
                         "stream cut off by a stop",
                         Rule.STOP_IS_GRACEFUL,
@@ -155,7 +155,7 @@
     @MethodSource({"plantedAnswers", "plantedRuns"})
     void reportsPlantedViolation(String name, Rule rule, History history) {
         HistoryReport report = new HistoryChecker().check(history);
-        assertThat(report.broken(rule)).as(name).isPositive();
+        assertThat(report.violationCount(rule)).as(name).isPositive();
         assertThat(report.violations()).allMatch(violation -> violation.rule() == rule);
     }
 
@@ -168,8 +168,8 @@
         records.add(end("r4", Outcome.UNKNOWN, -1, null));
         records.add(new Leaving(1, "t1"));
         records.add(new Stop(5, "e1"));
-        records.add(new VersionSeen(1, "e1", 4, "bb"));
-        records.add(new VersionSeen(2, "e1", 5, "aa"));
+        records.add(new VersionReported(1, "e1", 4, "bb"));
+        records.add(new VersionReported(2, "e1", 5, "aa"));
         return history(records.toArray(HistoryRecord[]::new));
     }
 
