--- a/core/src/main/java/org/verbenatally/policy/DispatchedRequest.java
+++ b/core/src/main/java/org/verbenatally/policy/DispatchedRequest.java
@@ -7,7 +7,7 @@
 import org.verbenatally.core.TargetId;
 
 /** A request in flight, as returned by the dispatcher. */
-final class DispatchedRequest implements Flight {
+final class DispatchedRequest implements InFlightRequest {
     private final WorkRequest request;
     private final TargetState state;
     private final LengthModel lengthModel;
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void token() {
+    public void recordToken() {
         long now = clock.getAsLong();
         synchronized (this) {
             if (ended) {
--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -50,7 +50,7 @@
 
     private volatile Deployment deployment;
 
-    private record PendingRequest(WorkRequest request, CompletableFuture<Flight> future) {}
+    private record PendingRequest(WorkRequest request, CompletableFuture<InFlightRequest> future) {}
 
     /** A future that is completed after the lock has been released. */
     private record Completion(PendingRequest pending, DispatchedRequest dispatched, StepException failure) {
@@ -108,13 +108,13 @@
 
     /**
      * Acquires a target for a request. The future completes as soon as the request may be sent to the target; the
-     * caller must then end the returned flight. Cancelling the future withdraws a request that is still queued.
+     * caller must then end the returned request. Cancelling the future withdraws a request that is still queued.
      *
      * @return the request in flight; the future fails with a {@link StepException} of step {@code ADMIT} (refused,
      *     queue full, deadline) or {@code ROUTE} (no target may run the kind), with the outcome {@code NOT_RUN} and a
      *     {@code retryAfter}
      */
-    public CompletableFuture<Flight> acquire(WorkRequest request) {
+    public CompletableFuture<InFlightRequest> acquire(WorkRequest request) {
         Objects.requireNonNull(request, "request");
         PendingRequest pending = new PendingRequest(request, new CompletableFuture<>());
         Completion completion;
--- a/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
+++ b/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
@@ -47,22 +47,22 @@
             @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 5) Integer> actions,
             @ForAll @IntRange(min = 0, max = 6) int policy) {
         Dispatcher dispatcher = dispatcher(PolicySuite.names().get(policy), 3, 4, 7);
-        List<CompletableFuture<Flight>> futures = new ArrayList<>();
-        Deque<Flight> inFlight = new ArrayDeque<>();
+        List<CompletableFuture<InFlightRequest>> futures = new ArrayList<>();
+        Deque<InFlightRequest> inFlight = new ArrayDeque<>();
         long number = 0;
         for (int action : actions) {
             if (action < 4) {
                 Organisation owner = Fixtures.organisation("org-" + action, 1 + action);
                 Kind kind = action == 0 ? LOOKUP : GUIDE;
-                CompletableFuture<Flight> future =
+                CompletableFuture<InFlightRequest> future =
                         dispatcher.acquire(Fixtures.request(kind, owner, ++number, timer.nanos() + DEADLINE));
                 future.thenAccept(inFlight::add);
                 futures.add(future);
             } else if (!inFlight.isEmpty()) {
-                Flight flight = inFlight.poll();
-                flight.token();
-                flight.end(action == 4 ? FlightEnd.DONE : FlightEnd.FAILED);
-                flight.end(FlightEnd.DONE);
+                InFlightRequest dispatched = inFlight.poll();
+                dispatched.recordToken();
+                dispatched.end(action == 4 ? FlightEnd.DONE : FlightEnd.FAILED);
+                dispatched.end(FlightEnd.DONE);
             }
             timer.advance(Duration.ofMillis(10));
             assertThat(dispatcher.queued()).isLessThanOrEqualTo(7);
@@ -87,16 +87,16 @@
     @Property(seed = "14", tries = 20)
     void sharesConvergeUnderBacklog(@ForAll @IntRange(min = 1, max = 4) int share) {
         Dispatcher dispatcher = dispatcher("headroom", 1, 4, 2000);
-        Deque<Flight> inFlight = new ArrayDeque<>();
+        Deque<InFlightRequest> inFlight = new ArrayDeque<>();
         Map<String, Integer> started = new HashMap<>();
         for (int i = 0; i < 400; i++) {
             for (String name : List.of("large", "small")) {
                 Organisation owner = Fixtures.organisation(name, name.equals("large") ? share : 1);
                 dispatcher
                         .acquire(Fixtures.request(LOOKUP, owner, 2L * i + name.length(), timer.nanos() + DEADLINE))
-                        .thenAccept(flight -> {
+                        .thenAccept(dispatched -> {
                             started.merge(name, 1, Integer::sum);
-                            inFlight.add(flight);
+                            inFlight.add(dispatched);
                         });
             }
             // Regular starts keep the estimated wait short enough that the queue accepts the other requests.
@@ -116,10 +116,10 @@
         Dispatcher dispatcher = dispatcher("headroom", 2, 8, 10);
         targets.markLeaving(new org.verbenatally.core.TargetId("engine-0"));
         for (int i = 0; i < 6; i++) {
-            Flight flight = dispatcher
+            InFlightRequest dispatched = dispatcher
                     .acquire(Fixtures.request(LOOKUP, Fixtures.organisation("tana", 1), i, DEADLINE))
                     .join();
-            assertThat(flight.target().value()).isEqualTo("engine-1");
+            assertThat(dispatched.target().value()).isEqualTo("engine-1");
         }
     }
 
@@ -139,7 +139,7 @@
     public static class Concurrent {
         private final DispatcherTest test = new DispatcherTest();
         private final Dispatcher dispatcher = test.dispatcher("fewest-in-flight", 1, 1, 0);
-        private final Flight first = dispatcher
+        private final InFlightRequest first = dispatcher
                 .acquire(Fixtures.request(LOOKUP, Fixtures.organisation("tana", 1), 1, DEADLINE))
                 .join();
 
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -22,8 +22,8 @@
 import org.verbenatally.entry.operator.Service;
 import org.verbenatally.entry.target.EngineStream;
 import org.verbenatally.entry.target.TokenFeed;
-import org.verbenatally.policy.Flight;
 import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.RetryInput;
 import org.verbenatally.policy.SuspectTable;
 import org.verbenatally.policy.WorkRequest;
@@ -50,7 +50,7 @@
     private final TokenLatency tokenLatency;
     private StopReason stopReason;
     private EngineStream stream;
-    private CompletableFuture<Flight> acquisition;
+    private CompletableFuture<InFlightRequest> acquisition;
     private boolean mayHaveRun;
     private long deadlineTimer = -1;
     private long earlyHeadTimer = -1;
@@ -154,7 +154,7 @@
     /** Ends the run. Only the first call has an effect. */
     void stop(StopReason reason) {
         EngineStream openStream;
-        CompletableFuture<Flight> pending;
+        CompletableFuture<InFlightRequest> pending;
         synchronized (this) {
             if (stopReason != null) {
                 return;
@@ -180,7 +180,7 @@
         int attempts = 0;
         while (true) {
             attempts++;
-            Optional<Flight> inFlight = acquire(exclude);
+            Optional<InFlightRequest> inFlight = acquire(exclude);
             if (inFlight.isEmpty()) {
                 return;
             }
@@ -223,12 +223,12 @@
                         Math.max(0, request.deadlineNanos() - components.timer().nanos())));
     }
 
-    private Optional<Flight> acquire(Set<TargetId> exclude) {
+    private Optional<InFlightRequest> acquire(Set<TargetId> exclude) {
         if (components.suspects().check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
             fail(RunProblems.quarantined());
             return Optional.empty();
         }
-        CompletableFuture<Flight> future = components
+        CompletableFuture<InFlightRequest> future = components
                 .dispatcher()
                 .acquire(new WorkRequest(
                         request.kind(),
@@ -245,7 +245,8 @@
             future.cancel(false);
         }
         try {
-            Flight inFlight = Future.fromCompletionStage(future, context).await();
+            InFlightRequest inFlight =
+                    Future.fromCompletionStage(future, context).await();
             exchange.note("routed");
             return Optional.of(inFlight);
         } catch (StepException e) {
@@ -263,7 +264,7 @@
         }
     }
 
-    private Attempt runAttempt(Flight inFlight) {
+    private Attempt runAttempt(InFlightRequest inFlight) {
         Optional<Target> target = components.target(inFlight.target());
         if (target.isEmpty()) {
             return new Attempt(
@@ -320,12 +321,12 @@
         return opened;
     }
 
-    private Attempt deliver(EngineStream opened, Optional<Flight> inFlight) {
+    private Attempt deliver(EngineStream opened, Optional<InFlightRequest> inFlight) {
         try {
             while (true) {
                 switch (opened.next()) {
                     case TokenFeed.Token token -> {
-                        inFlight.ifPresent(Flight::token);
+                        inFlight.ifPresent(InFlightRequest::recordToken);
                         tokenLatency.recordToken();
                         response.onToken(token.offset(), token.text());
                     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
@@ -28,8 +28,8 @@
 import org.verbenatally.entry.target.ServiceClient;
 import org.verbenatally.entry.target.TargetFailure;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.Flight;
 import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.RetryInput;
 import org.verbenatally.policy.SuspectTable;
 import org.verbenatally.policy.WorkRequest;
@@ -165,7 +165,7 @@
      * @param maySend queried once a connection exists, immediately before the first byte is sent
      */
     Attempt runAttempt(Call call, Set<TargetId> exclude, boolean newConnection, BooleanSupplier maySend) {
-        Flight inFlight;
+        InFlightRequest inFlight;
         try {
             inFlight = Future.fromCompletionStage(
                             components
--- a/tools/src/main/java/org/verbenatally/load/DecisionBench.java
+++ b/tools/src/main/java/org/verbenatally/load/DecisionBench.java
@@ -27,8 +27,8 @@
 import org.verbenatally.core.TargetId;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.Flight;
 import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.PolicySuite;
 import org.verbenatally.policy.ReportedLoad;
 import org.verbenatally.policy.SuspectTable;
@@ -112,7 +112,7 @@
         List<Organisation> organisations =
                 List.copyOf(deployment.organisations().values());
         Kind kind = deployment.kinds().values().iterator().next();
-        Flight[] inFlight = new Flight[OPEN_REQUESTS];
+        InFlightRequest[] inFlight = new InFlightRequest[OPEN_REQUESTS];
         long start = 0;
         // The first half warms up the JIT compiler and fills the slots of open requests.
         for (int i = 0; i < 2 * decisions; i++) {
@@ -121,7 +121,7 @@
             }
             int slot = i % OPEN_REQUESTS;
             if (inFlight[slot] != null) {
-                inFlight[slot].token();
+                inFlight[slot].recordToken();
                 inFlight[slot].end(FlightEnd.DONE);
             }
             Organisation organisation = organisations.get(i % organisations.size());
--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -26,8 +26,8 @@
 import org.verbenatally.core.TargetId;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.Flight;
 import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.PolicySuite;
 import org.verbenatally.policy.ReportedLoad;
 import org.verbenatally.policy.SuspectTable;
@@ -100,7 +100,7 @@
             ActiveGeneration active = running.get(generation);
             if (simulation.tokens(generation) > active.tokens) {
                 active.tokens++;
-                active.inFlight.token();
+                active.inFlight.recordToken();
                 metrics.onToken(active.trialRequest);
             }
             if (generation.isDone()) {
@@ -133,10 +133,10 @@
 
     private static final class ActiveGeneration {
         final TrialMetrics.Request trialRequest;
-        final Flight inFlight;
+        final InFlightRequest inFlight;
         int tokens;
 
-        ActiveGeneration(TrialMetrics.Request trialRequest, Flight inFlight) {
+        ActiveGeneration(TrialMetrics.Request trialRequest, InFlightRequest inFlight) {
             this.trialRequest = trialRequest;
             this.inFlight = inFlight;
         }
@@ -295,7 +295,11 @@
     }
 
     private void send(
-            TrialMetrics.Request trialRequest, Flight inFlight, KindLoad load, int length, long requestNumber) {
+            TrialMetrics.Request trialRequest,
+            InFlightRequest inFlight,
+            KindLoad load,
+            int length,
+            long requestNumber) {
         Engine engine = engines.get(inFlight.target());
         String marker = "[len=" + length + "] " + requestNumber + " ";
         String prompt = marker + "x".repeat(Math.max(0, 4 * workload.prefixTokens(load) - marker.length()));
