--- a/core/src/main/java/org/verbenatally/policy/FlightEnd.java
+++ b/core/src/main/java/org/verbenatally/policy/AttemptEnd.java
@@ -1,7 +1,7 @@
 package org.verbenatally.policy;
 
 /** How an attempt on a target ended. */
-public enum FlightEnd {
+public enum AttemptEnd {
     /** The target sent a complete response. */
     DONE,
     /** The target refused the work (503) and has not run it. */
--- a/core/src/main/java/org/verbenatally/policy/BudgetedRetryPolicy.java
+++ b/core/src/main/java/org/verbenatally/policy/BudgetedRetryPolicy.java
@@ -61,7 +61,7 @@
     }
 
     private static boolean isRetryable(RetryInput input) {
-        if (input.end() == FlightEnd.DONE || input.end() == FlightEnd.CANCELLED || input.delivered()) {
+        if (input.end() == AttemptEnd.DONE || input.end() == AttemptEnd.CANCELLED || input.delivered()) {
             return false;
         }
         if (input.attempts() >= input.kind().maxAttempts() || input.suspect() && input.attempts() > 1) {
--- a/core/src/main/java/org/verbenatally/policy/DispatchedRequest.java
+++ b/core/src/main/java/org/verbenatally/policy/DispatchedRequest.java
@@ -12,7 +12,7 @@
     private final TargetState state;
     private final LengthModel lengthModel;
     private final LongSupplier clock;
-    private final BiConsumer<DispatchedRequest, FlightEnd> onEnd;
+    private final BiConsumer<DispatchedRequest, AttemptEnd> onEnd;
     private final long startNanos;
 
     private boolean ended;
@@ -30,7 +30,7 @@
             TargetState state,
             LengthModel lengthModel,
             LongSupplier clock,
-            BiConsumer<DispatchedRequest, FlightEnd> onEnd) {
+            BiConsumer<DispatchedRequest, AttemptEnd> onEnd) {
         this.request = request;
         this.state = state;
         this.lengthModel = lengthModel;
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void end(FlightEnd end) {
+    public void end(AttemptEnd end) {
         Objects.requireNonNull(end, "end");
         synchronized (this) {
             if (ended) {
--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -58,7 +58,7 @@
             if (failure != null) {
                 pending.future().completeExceptionally(failure);
             } else if (!pending.future().complete(dispatched)) {
-                dispatched.end(FlightEnd.CANCELLED);
+                dispatched.end(AttemptEnd.CANCELLED);
             }
         }
     }
@@ -242,7 +242,7 @@
         return current != null && queued() > current.limits().maxQueued() / 2;
     }
 
-    private void onEnded(DispatchedRequest dispatched, FlightEnd end) {
+    private void onEnded(DispatchedRequest dispatched, AttemptEnd end) {
         TargetState state = dispatched.state();
         WorkRequest request = dispatched.request();
         OrganisationId organisation = request.organisation().id();
@@ -253,15 +253,15 @@
             suspects.crashed(state.target().id(), fingerprints, fingerprints.size() == 1 && state.peerRequests() == 0);
         }
         suspects.release(request.fingerprint(), state.target().id());
-        if (end == FlightEnd.DONE) {
+        if (end == AttemptEnd.DONE) {
             suspects.cleared(request.fingerprint());
             retryPolicy.recordSuccess(organisation, state.target().id());
             if (request.kind().runsOn() == TargetType.ENGINE) {
                 lengthModel.observe(request.kind(), organisation, dispatched.outputTokens());
             }
-        } else if (end == FlightEnd.REFUSED) {
+        } else if (end == AttemptEnd.REFUSED) {
             state.onRefused(timer.nanos());
-        } else if (end == FlightEnd.UNREACHABLE || end == FlightEnd.CRASHED) {
+        } else if (end == AttemptEnd.UNREACHABLE || end == AttemptEnd.CRASHED) {
             state.onUnreachable(timer.nanos());
         }
         lock.lock();
--- a/core/src/main/java/org/verbenatally/policy/InFlightRequest.java
+++ b/core/src/main/java/org/verbenatally/policy/InFlightRequest.java
@@ -15,5 +15,5 @@
     void recordToken();
 
     /** Ends the attempt and releases its slot. */
-    void end(FlightEnd end);
+    void end(AttemptEnd end);
 }
--- a/core/src/main/java/org/verbenatally/policy/RetryInput.java
+++ b/core/src/main/java/org/verbenatally/policy/RetryInput.java
@@ -24,7 +24,7 @@
         Kind kind,
         OrganisationId organisation,
         TargetId target,
-        FlightEnd end,
+        AttemptEnd end,
         int attempts,
         boolean mayHaveReachedTarget,
         boolean delivered,
--- a/core/src/main/java/org/verbenatally/policy/TargetState.java
+++ b/core/src/main/java/org/verbenatally/policy/TargetState.java
@@ -196,13 +196,13 @@
      * Removes a request that is no longer in flight. If it is the first to report a crash of the target, returns all
      * requests that were in flight there, this one included; otherwise returns an empty list.
      */
-    synchronized List<DispatchedRequest> remove(DispatchedRequest dispatched, FlightEnd end, long now) {
+    synchronized List<DispatchedRequest> remove(DispatchedRequest dispatched, AttemptEnd end, long now) {
         record(now);
         ownRequests--;
         ownTokens -= dispatched.heldTokens();
         forecast.add(dispatched.heldTokens(), dispatched.expectedRemaining(), -1);
         boolean removed = inFlight.remove(dispatched);
-        if (end != FlightEnd.CRASHED || !removed) {
+        if (end != AttemptEnd.CRASHED || !removed) {
             return List.of();
         }
         List<DispatchedRequest> affected = new ArrayList<>(inFlight);
--- a/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
+++ b/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
@@ -61,15 +61,15 @@
             } else if (!inFlight.isEmpty()) {
                 InFlightRequest dispatched = inFlight.poll();
                 dispatched.recordToken();
-                dispatched.end(action == 4 ? FlightEnd.DONE : FlightEnd.FAILED);
-                dispatched.end(FlightEnd.DONE);
+                dispatched.end(action == 4 ? AttemptEnd.DONE : AttemptEnd.FAILED);
+                dispatched.end(AttemptEnd.DONE);
             }
             timer.advance(Duration.ofMillis(10));
             assertThat(dispatcher.queued()).isLessThanOrEqualTo(7);
             assertThat(dispatcher.inFlight()).isEqualTo(inFlight.size());
         }
         while (!inFlight.isEmpty()) {
-            inFlight.poll().end(FlightEnd.DONE);
+            inFlight.poll().end(AttemptEnd.DONE);
         }
         dispatcher.close();
         assertThat(futures).allMatch(CompletableFuture::isDone);
@@ -101,7 +101,7 @@
             }
             // Regular starts keep the estimated wait short enough that the queue accepts the other requests.
             if (i % 2 == 0 && !inFlight.isEmpty()) {
-                inFlight.poll().end(FlightEnd.DONE);
+                inFlight.poll().end(AttemptEnd.DONE);
             }
             timer.advance(Duration.ofMillis(20));
         }
@@ -128,9 +128,9 @@
     void aRequestThatCrashesTwoTargetsAloneIsRefused() {
         Dispatcher dispatcher = dispatcher("headroom", 3, 8, 10);
         WorkRequest poison = Fixtures.request(GUIDE, Fixtures.organisation("tana", 1), 99, DEADLINE);
-        dispatcher.acquire(poison).join().end(FlightEnd.CRASHED);
+        dispatcher.acquire(poison).join().end(AttemptEnd.CRASHED);
         assertThat(suspects.check(poison.fingerprint())).isEqualTo(SuspectTable.Verdict.ISOLATE);
-        dispatcher.acquire(poison).join().end(FlightEnd.CRASHED);
+        dispatcher.acquire(poison).join().end(AttemptEnd.CRASHED);
         assertThat(suspects.check(poison.fingerprint())).isEqualTo(SuspectTable.Verdict.QUARANTINED);
         assertThat(dispatcher.acquire(poison)).isCompletedExceptionally();
     }
@@ -145,7 +145,7 @@
 
         @Operation
         public void endFirst() {
-            first.end(FlightEnd.DONE);
+            first.end(AttemptEnd.DONE);
         }
 
         @Operation
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -22,7 +22,7 @@
 import org.verbenatally.entry.operator.Service;
 import org.verbenatally.entry.target.EngineStream;
 import org.verbenatally.entry.target.TokenFeed;
-import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.AttemptEnd;
 import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.RetryInput;
 import org.verbenatally.policy.SuspectTable;
@@ -77,13 +77,13 @@
      * @param mayHaveRun whether the engine may have started the generation
      * @param last whether no further attempt may follow
      */
-    private record Attempt(FlightEnd end, Optional<Problem> problem, boolean mayHaveRun, boolean last) {
+    private record Attempt(AttemptEnd end, Optional<Problem> problem, boolean mayHaveRun, boolean last) {
         static Attempt done() {
-            return new Attempt(FlightEnd.DONE, Optional.empty(), true, true);
+            return new Attempt(AttemptEnd.DONE, Optional.empty(), true, true);
         }
 
         static Attempt stopped() {
-            return new Attempt(FlightEnd.CANCELLED, Optional.empty(), true, true);
+            return new Attempt(AttemptEnd.CANCELLED, Optional.empty(), true, true);
         }
     }
 
@@ -268,7 +268,7 @@
         Optional<Target> target = components.target(inFlight.target());
         if (target.isEmpty()) {
             return new Attempt(
-                    FlightEnd.REFUSED,
+                    AttemptEnd.REFUSED,
                     Optional.of(RunProblems.notRun(inFlight.target(), "the target was removed")),
                     false,
                     false);
@@ -362,13 +362,13 @@
                 yield Attempt.stopped();
             }
             case CRASHED ->
-                new Attempt(FlightEnd.CRASHED, Optional.of(generationLost(target, e.getMessage())), true, false);
+                new Attempt(AttemptEnd.CRASHED, Optional.of(generationLost(target, e.getMessage())), true, false);
             case INVALID -> {
                 opened.cancel();
-                yield new Attempt(FlightEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
+                yield new Attempt(AttemptEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
             }
             case LOST ->
-                new Attempt(FlightEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
+                new Attempt(AttemptEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
         };
     }
 
@@ -378,7 +378,7 @@
             case ABANDONED, CANCELLED, DEADLINE -> opened.cancel();
             default -> throw new IllegalStateException("unknown reason " + reason);
         }
-        return new Attempt(FlightEnd.CANCELLED, stopProblem(), true, true);
+        return new Attempt(AttemptEnd.CANCELLED, stopProblem(), true, true);
     }
 
     private Optional<Problem> stopProblem() {
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineStarter.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineStarter.java
@@ -10,7 +10,7 @@
 import org.verbenatally.entry.target.EngineClient;
 import org.verbenatally.entry.target.TargetFailure;
 import org.verbenatally.entry.target.TokenFeed;
-import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.AttemptEnd;
 
 /** Starts a generation; if the engine's response is lost, attaches to the generation on a new connection. */
 final class EngineStarter {
@@ -33,7 +33,7 @@
      * @param end how the attempt ended for its target
      * @param mayHaveRun whether the engine may have started the generation
      */
-    record Failed(TargetFailure failure, FlightEnd end, boolean mayHaveRun) implements Result {}
+    record Failed(TargetFailure failure, AttemptEnd end, boolean mayHaveRun) implements Result {}
 
     EngineStarter(CallerComponents components, GenerationRequest work) {
         this.components = Objects.requireNonNull(components, "components");
@@ -55,8 +55,8 @@
     }
 
     private static Failed failed(TargetFailure e) {
-        FlightEnd failureEnd = e.reason().isUnreachable() ? FlightEnd.UNREACHABLE : FlightEnd.FAILED;
-        FlightEnd end = e.reason().isRefused() ? FlightEnd.REFUSED : failureEnd;
+        AttemptEnd failureEnd = e.reason().isUnreachable() ? AttemptEnd.UNREACHABLE : AttemptEnd.FAILED;
+        AttemptEnd end = e.reason().isRefused() ? AttemptEnd.REFUSED : failureEnd;
         return new Failed(e, end, !e.reason().isNotRun());
     }
 
@@ -72,7 +72,7 @@
                         default -> false;
                     };
             // The start request may have been sent, so a refused attach does not prove that nothing ran.
-            return new Failed(e, crashed ? FlightEnd.CRASHED : FlightEnd.FAILED, true);
+            return new Failed(e, crashed ? AttemptEnd.CRASHED : AttemptEnd.FAILED, true);
         }
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
@@ -10,7 +10,7 @@
 import org.verbenatally.core.Outcome;
 import org.verbenatally.core.TargetId;
 import org.verbenatally.entry.key.CallResult;
-import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.AttemptEnd;
 
 /**
  * One idempotent call of a plain service. If the first attempt has not responded after {@link #HEDGE_DELAY}, a second
@@ -89,7 +89,8 @@
             runningAttempts--;
             mayHaveRun |= attempt.mayHaveRun();
             attempt.target().ifPresent(triedTargets::add);
-            boolean settled = attempt.end() == FlightEnd.DONE || result.future().isComplete();
+            boolean settled =
+                    attempt.end() == AttemptEnd.DONE || result.future().isComplete();
             // Once bytes have been sent, only one further attempt is made; a refused call may be sent more often.
             boolean mayRetry = !settled
                     && attempt.target().isPresent()
@@ -110,7 +111,7 @@
     }
 
     private static int extraSends(ServiceCalls.Attempt attempt) {
-        return attempt.end() == FlightEnd.REFUSED ? Integer.MAX_VALUE - 2 : 0;
+        return attempt.end() == AttemptEnd.REFUSED ? Integer.MAX_VALUE - 2 : 0;
     }
 
     private void startRetry() {
--- a/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
@@ -27,8 +27,8 @@
 import org.verbenatally.entry.key.CallRunner;
 import org.verbenatally.entry.target.ServiceClient;
 import org.verbenatally.entry.target.TargetFailure;
+import org.verbenatally.policy.AttemptEnd;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.FlightEnd;
 import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.RetryInput;
 import org.verbenatally.policy.SuspectTable;
@@ -71,7 +71,7 @@
      * @param target target of the attempt; empty if none was found
      * @param mayHaveRun whether a byte may have been sent and the target did not refuse the call
      */
-    record Attempt(CallResult result, FlightEnd end, Optional<TargetId> target, boolean mayHaveRun) {}
+    record Attempt(CallResult result, AttemptEnd end, Optional<TargetId> target, boolean mayHaveRun) {}
 
     ServiceCalls(CallerComponents components, Context context) {
         this.components = Objects.requireNonNull(components, "components");
@@ -125,7 +125,7 @@
             if (attempt.mayHaveRun() || attempt.target().isEmpty() || !maySend.getAsBoolean()) {
                 return attempt.result();
             }
-            boolean connectFailed = attempt.end() == FlightEnd.FAILED || attempt.end() == FlightEnd.UNREACHABLE;
+            boolean connectFailed = attempt.end() == AttemptEnd.FAILED || attempt.end() == AttemptEnd.UNREACHABLE;
             Optional<Duration> delay = connectFailed ? retryDelay(serviceCall, attempt, attempts) : Optional.empty();
             if (delay.isEmpty()) {
                 return attempt.result();
@@ -182,14 +182,14 @@
                     .await();
         } catch (StepException e) {
             CallResult refused = failedResult(e.outcome(), e.step(), e.peer(), e.getMessage());
-            return new Attempt(refused, FlightEnd.REFUSED, Optional.empty(), false);
+            return new Attempt(refused, AttemptEnd.REFUSED, Optional.empty(), false);
         }
         Attempt attempt = null;
         try {
             attempt = send(call, inFlight.target(), newConnection, maySend);
             return attempt;
         } finally {
-            inFlight.end(attempt == null ? FlightEnd.FAILED : attempt.end());
+            inFlight.end(attempt == null ? AttemptEnd.FAILED : attempt.end());
         }
     }
 
@@ -198,7 +198,7 @@
         if (target.isEmpty()) {
             return new Attempt(
                     failedResult(Outcome.NOT_RUN, Step.ROUTE, id.value(), "the target was removed"),
-                    FlightEnd.FAILED,
+                    AttemptEnd.FAILED,
                     Optional.of(id),
                     false);
         }
@@ -237,11 +237,11 @@
                 status >= SUCCESS && status < SERVER_ERROR && status != TIMEOUT && status != TOO_MANY_REQUESTS;
         if (conclusive) {
             CallResult result = CallResult.done(status, response.body().getBytes(), id.value());
-            return new Attempt(result, FlightEnd.DONE, Optional.of(id), true);
+            return new Attempt(result, AttemptEnd.DONE, Optional.of(id), true);
         }
         CallResult result =
                 failedResult(Outcome.UNKNOWN, Step.SEND, id.value(), "the target answered with status " + status);
-        return new Attempt(result, FlightEnd.FAILED, Optional.of(id), true);
+        return new Attempt(result, AttemptEnd.FAILED, Optional.of(id), true);
     }
 
     private Attempt failedAttempt(TargetId id, TargetFailure e, boolean sent, boolean crashed) {
@@ -252,10 +252,10 @@
         boolean mayHaveRun = sent && !refused;
         Outcome outcome = mayHaveRun ? Outcome.UNKNOWN : Outcome.NOT_RUN;
         Step step = sent ? Step.SEND : Step.CONNECT;
-        FlightEnd failureEnd = e.reason().isUnreachable() ? FlightEnd.UNREACHABLE : FlightEnd.FAILED;
+        AttemptEnd failureEnd = e.reason().isUnreachable() ? AttemptEnd.UNREACHABLE : AttemptEnd.FAILED;
         return new Attempt(
                 failedResult(outcome, step, id.value(), e.getMessage()),
-                refused ? FlightEnd.REFUSED : crashed ? FlightEnd.CRASHED : failureEnd,
+                refused ? AttemptEnd.REFUSED : crashed ? AttemptEnd.CRASHED : failureEnd,
                 Optional.of(id),
                 mayHaveRun);
     }
--- a/tools/src/main/java/org/verbenatally/load/DecisionBench.java
+++ b/tools/src/main/java/org/verbenatally/load/DecisionBench.java
@@ -25,9 +25,9 @@
 import org.verbenatally.core.ModelName;
 import org.verbenatally.core.OrganisationId;
 import org.verbenatally.core.TargetId;
+import org.verbenatally.policy.AttemptEnd;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.FlightEnd;
 import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.PolicySuite;
 import org.verbenatally.policy.ReportedLoad;
@@ -122,7 +122,7 @@
             int slot = i % OPEN_REQUESTS;
             if (inFlight[slot] != null) {
                 inFlight[slot].recordToken();
-                inFlight[slot].end(FlightEnd.DONE);
+                inFlight[slot].end(AttemptEnd.DONE);
             }
             Organisation organisation = organisations.get(i % organisations.size());
             long deadline = time.nanos() + 60_000_000_000L;
--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -24,9 +24,9 @@
 import org.verbenatally.core.ModelName;
 import org.verbenatally.core.OrganisationId;
 import org.verbenatally.core.TargetId;
+import org.verbenatally.policy.AttemptEnd;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.FlightEnd;
 import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.PolicySuite;
 import org.verbenatally.policy.ReportedLoad;
@@ -106,7 +106,7 @@
             if (generation.isDone()) {
                 running.remove(generation);
                 metrics.onDone(active.trialRequest, active.tokens);
-                active.inFlight.end(FlightEnd.DONE);
+                active.inFlight.end(AttemptEnd.DONE);
             }
         }
 
