--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -203,7 +203,7 @@
     }
 
     /** Returns the retry policy, which draws on the retry budgets of this dispatcher. */
-    public RetryPolicy retries() {
+    public RetryPolicy retryPolicy() {
         return retryPolicy;
     }
 
@@ -213,7 +213,7 @@
     }
 
     /** Returns the number of queued requests. */
-    public int queued() {
+    public int queuedRequests() {
         lock.lock();
         try {
             return queue.size();
@@ -239,7 +239,7 @@
 
     private boolean isOverloaded() {
         Deployment current = deployment;
-        return current != null && queued() > current.limits().maxQueued() / 2;
+        return current != null && queuedRequests() > current.limits().maxQueued() / 2;
     }
 
     private void onEnded(DispatchedRequest dispatched, AttemptEnd end) {
--- a/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
+++ b/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
@@ -65,7 +65,7 @@
                 dispatched.end(AttemptEnd.DONE);
             }
             timer.advance(Duration.ofMillis(10));
-            assertThat(dispatcher.queued()).isLessThanOrEqualTo(7);
+            assertThat(dispatcher.queuedRequests()).isLessThanOrEqualTo(7);
             assertThat(dispatcher.inFlight()).isEqualTo(inFlight.size());
         }
         while (!inFlight.isEmpty()) {
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -68,7 +68,7 @@
                 .put("ready", reason.isEmpty())
                 .put("openRequests", callers.open())
                 .put("openGenerations", callers.generations())
-                .put("queued", dispatcher.queued())
+                .put("queued", dispatcher.queuedRequests())
                 .put("usedKeys", callers.keyedCalls().store().used());
         reason.ifPresent(text -> json.put("notReady", text));
         config.document()
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -193,7 +193,7 @@
             }
             Optional<Duration> delay = attempt.last() || stopReason().isPresent()
                     ? Optional.empty()
-                    : components.dispatcher().retries().decide(retryInput(target, attempt, attempts));
+                    : components.dispatcher().retryPolicy().decide(retryInput(target, attempt, attempts));
             if (delay.isEmpty()) {
                 fail(attempt.problem().get());
                 return;
--- a/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
@@ -139,7 +139,7 @@
         boolean suspect = components.suspects().check(call.fingerprint()) != SuspectTable.Verdict.CLEAR;
         return components
                 .dispatcher()
-                .retries()
+                .retryPolicy()
                 .decide(new RetryInput(
                         call.kind(),
                         call.organisation().id(),
