--- a/core/src/main/java/org/verbenatally/policy/TargetState.java
+++ b/core/src/main/java/org/verbenatally/policy/TargetState.java
@@ -147,7 +147,7 @@
     }
 
     /** Records a checked report that was created at the given time of this entry's clock. */
-    synchronized void report(ReportedLoad load, long createdNanos) {
+    synchronized void recordReport(ReportedLoad load, long createdNanos) {
         ReceivedReport last = lastReport;
         boolean sameIncarnation = last != null && last.load().incarnation().equals(load.incarnation());
         if (sameIncarnation && load.atMs() <= last.load().atMs()) {
--- a/core/src/main/java/org/verbenatally/policy/TargetTable.java
+++ b/core/src/main/java/org/verbenatally/policy/TargetTable.java
@@ -82,7 +82,7 @@
     }
 
     /** Records a load report. A report is ignored if it is implausible, out of order, or from an unknown target. */
-    public void report(TargetId target, ReportedLoad load) {
+    public void recordReport(TargetId target, ReportedLoad load) {
         TargetState state = states.get(target);
         if (state == null || !isPlausible(load)) {
             return;
@@ -91,7 +91,7 @@
         if (age < 0 || age > MAX_AGE_MS) {
             age = ASSUMED_AGE_MS;
         }
-        state.report(load, timer.nanos() - TimeUnit.MILLISECONDS.toNanos(age));
+        state.recordReport(load, timer.nanos() - TimeUnit.MILLISECONDS.toNanos(age));
     }
 
     private static boolean isPlausible(ReportedLoad load) {
@@ -117,13 +117,13 @@
     }
 
     /** Sets the targets that the platform's published list marks as leaving, replacing those of the previous list. */
-    public synchronized void listedLeaving(Set<TargetId> listed) {
-        publishedLeaving = Set.copyOf(listed);
+    public synchronized void setPublishedLeaving(Set<TargetId> published) {
+        publishedLeaving = Set.copyOf(published);
         updateLeaving();
     }
 
     /** Sets the targets that a peer knows to be leaving, replacing those that it reported before. */
-    public synchronized void peerLeaving(InstanceId peer, Set<TargetId> targets) {
+    public synchronized void setPeerLeaving(InstanceId peer, Set<TargetId> targets) {
         leavingByPeer.put(peer, Set.copyOf(targets));
         updateLeaving();
     }
@@ -135,8 +135,8 @@
     }
 
     /** Returns the targets that are known to be leaving, from any source. */
-    public Set<TargetId> leaving() {
-        return leaving(TargetState::isLeaving);
+    public Set<TargetId> leavingTargets() {
+        return leavingTargets(TargetState::isLeaving);
     }
 
     /**
@@ -144,14 +144,14 @@
      * Only these are passed on to peers: if second-hand reports were passed on as well, they would come back and
      * outlive the restart of the target.
      */
-    public synchronized Set<TargetId> knownLeaving() {
-        Set<TargetId> known = new HashSet<>(leaving(TargetState::hasReportedLeaving));
-        known.addAll(publishedLeaving);
-        known.retainAll(states.keySet());
-        return known;
+    public synchronized Set<TargetId> firstHandLeaving() {
+        Set<TargetId> firstHand = new HashSet<>(leavingTargets(TargetState::hasReportedLeaving));
+        firstHand.addAll(publishedLeaving);
+        firstHand.retainAll(states.keySet());
+        return firstHand;
     }
 
-    private Set<TargetId> leaving(Predicate<TargetState> filter) {
+    private Set<TargetId> leavingTargets(Predicate<TargetState> filter) {
         return states.entrySet().stream()
                 .filter(e -> filter.test(e.getValue()))
                 .map(Map.Entry::getKey)
@@ -159,7 +159,7 @@
     }
 
     /** Sets what a peer has in flight, replacing what it reported before. Implausible records are ignored. */
-    public synchronized void peerLoads(InstanceId peer, List<TargetLoad> loads) {
+    public synchronized void setPeerLoads(InstanceId peer, List<TargetLoad> loads) {
         Map<TargetId, TargetLoad> before = loadsByPeer.getOrDefault(peer, Map.of());
         Map<TargetId, TargetLoad> after = new HashMap<>();
         for (TargetLoad load : loads) {
@@ -181,8 +181,8 @@
     }
 
     /** Discards all reports of a peer that is gone. */
-    public synchronized void forgetPeer(InstanceId peer) {
-        peerLoads(peer, List.of());
+    public synchronized void removePeer(InstanceId peer) {
+        setPeerLoads(peer, List.of());
         loadsByPeer.remove(peer);
         leavingByPeer.remove(peer);
         updateLeaving();
--- a/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
+++ b/core/src/test/java/org/verbenatally/policy/TargetTableTest.java
@@ -80,19 +80,19 @@
     @Test
     void restartedTargetGetsWorkAgainOncePeersNoLongerReportItLeaving() {
         report(1, true);
-        table.peerLeaving(PEER, Set.of(TARGET));
+        table.setPeerLeaving(PEER, Set.of(TARGET));
         assertThat(table.hasEligibleTarget(KIND)).isFalse();
-        assertThat(table.knownLeaving()).containsExactly(TARGET);
+        assertThat(table.firstHandLeaving()).containsExactly(TARGET);
 
         report(2, false);
         assertThat(table.hasEligibleTarget(KIND))
                 .as("a peer still reports the target as leaving")
                 .isFalse();
-        assertThat(table.knownLeaving())
+        assertThat(table.firstHandLeaving())
                 .as("second-hand reports are not passed on")
                 .isEmpty();
 
-        table.peerLeaving(PEER, Set.of());
+        table.setPeerLeaving(PEER, Set.of());
         assertThat(table.hasEligibleTarget(KIND)).isTrue();
     }
 
@@ -100,15 +100,15 @@
     @Test
     void publishedListAndPeersStopNewWorkWhileTheyReportLeaving() {
         report(1, false);
-        table.listedLeaving(Set.of(TARGET));
+        table.setPublishedLeaving(Set.of(TARGET));
         assertThat(table.hasEligibleTarget(KIND)).isFalse();
-        assertThat(table.knownLeaving()).containsExactly(TARGET);
+        assertThat(table.firstHandLeaving()).containsExactly(TARGET);
 
-        table.listedLeaving(Set.of());
-        table.peerLeaving(PEER, Set.of(TARGET));
+        table.setPublishedLeaving(Set.of());
+        table.setPeerLeaving(PEER, Set.of(TARGET));
         assertThat(table.hasEligibleTarget(KIND)).isFalse();
 
-        table.forgetPeer(PEER);
+        table.removePeer(PEER);
         assertThat(table.hasEligibleTarget(KIND)).isTrue();
     }
 
@@ -125,7 +125,7 @@
     }
 
     private void report(long incarnation, boolean leaving) {
-        table.report(
+        table.recordReport(
                 TARGET,
                 new ReportedLoad(
                         new Incarnation(incarnation),
--- a/entry/src/main/java/org/verbenatally/entry/EntryServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/EntryServer.java
@@ -125,14 +125,14 @@
                 peers.address().port());
     }
 
-    /** Updates the targets that the platform lists as leaving, and reports new ones to the peers at once. */
+    /** Updates the targets that the platform publishes as leaving, and reports new ones to the peers at once. */
     private void onInstances(List<PlatformInstance> instances) {
-        Set<TargetId> listed = instances.stream()
+        Set<TargetId> published = instances.stream()
                 .filter(instance -> instance.role() != PlatformInstance.Role.ENTRY && instance.leaving())
                 .map(instance -> new TargetId(instance.id()))
                 .collect(Collectors.toSet());
-        boolean hasNewLeaving = !targets.knownLeaving().containsAll(listed);
-        targets.listedLeaving(listed);
+        boolean hasNewLeaving = !targets.firstHandLeaving().containsAll(published);
+        targets.setPublishedLeaving(published);
         if (hasNewLeaving) {
             peers.push();
         }
--- a/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
+++ b/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
@@ -53,17 +53,17 @@
 
     @Override
     public void onTargetLoads(InstanceId from, List<TargetLoad> loads) {
-        targets.peerLoads(from, loads);
+        targets.setPeerLoads(from, loads);
     }
 
     @Override
     public Set<TargetId> leavingTargets() {
-        return targets.knownLeaving();
+        return targets.firstHandLeaving();
     }
 
     @Override
     public void onLeavingTargets(InstanceId from, Set<TargetId> leaving) {
-        targets.peerLeaving(from, leaving);
+        targets.setPeerLeaving(from, leaving);
     }
 
     @Override
@@ -78,7 +78,7 @@
 
     @Override
     public void onGone(InstanceId peer) {
-        targets.forgetPeer(peer);
+        targets.removePeer(peer);
         suspects.forgetPeer(peer);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -92,7 +92,7 @@
     private JsonArray targets() {
         Map<String, TargetLoad> loads =
                 targets.ownLoads().stream().collect(Collectors.toMap(TargetLoad::getTarget, Function.identity()));
-        Set<TargetId> leaving = targets.leaving();
+        Set<TargetId> leaving = targets.leavingTargets();
         JsonArray array = new JsonArray();
         config.deployment()
                 .ifPresent(deployment -> deployment.targets().values().stream()
--- a/entry/src/main/java/org/verbenatally/entry/target/LoadPoller.java
+++ b/entry/src/main/java/org/verbenatally/entry/target/LoadPoller.java
@@ -110,8 +110,8 @@
     private void poll(Target target) {
         try {
             ReportedLoad load = fetch(target);
-            boolean wasLeaving = targets.leaving().contains(target.id());
-            targets.report(target.id(), load);
+            boolean wasLeaving = targets.leavingTargets().contains(target.id());
+            targets.recordReport(target.id(), load);
             incarnations.put(target.id(), load.incarnation());
             if (load.leaving() && !wasLeaving) {
                 LOG.infof("target: %s is leaving", target.id());
--- a/tools/src/main/java/org/verbenatally/load/DecisionBench.java
+++ b/tools/src/main/java/org/verbenatally/load/DecisionBench.java
@@ -98,9 +98,9 @@
         }
         for (int round = 0; round < 4; round++) {
             time.runUntil(time.nanos() + 500_000_000);
-            table.peerLoads(new InstanceId("peer"), loads);
+            table.setPeerLoads(new InstanceId("peer"), loads);
             for (TargetId id : deployment.targets().keySet()) {
-                table.report(
+                table.recordReport(
                         id,
                         new ReportedLoad(
                                 new Incarnation(1), time.epochMillis(), 8, 0, 8_000, 40_960, 0, Set.of(MODEL), false));
--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -233,7 +233,7 @@
             time.schedule(i * 61 * NANOS_PER_MS, () -> {
                 time.every(
                         POLL_PERIOD,
-                        tick -> engines.values().forEach(e -> entry.table().report(e.id, e.report())));
+                        tick -> engines.values().forEach(e -> entry.table().recordReport(e.id, e.report())));
                 time.every(GOSSIP_PERIOD, tick -> gossip(entry));
             });
         }
@@ -247,7 +247,7 @@
 
     private void gossip(Entry from) {
         var loads = from.table().ownLoads();
-        entries.stream().filter(e -> e != from).forEach(e -> e.table().peerLoads(from.id(), loads));
+        entries.stream().filter(e -> e != from).forEach(e -> e.table().setPeerLoads(from.id(), loads));
     }
 
     private void scheduleArrival() {
