--- a/core/src/main/java/org/verbenatally/policy/PolicySuite.java
+++ b/core/src/main/java/org/verbenatally/policy/PolicySuite.java
@@ -40,8 +40,8 @@
         return NAMES;
     }
 
-    /** Returns whether the named suite is a candidate that uses this system's own estimates, rather than a baseline. */
-    public static boolean isCandidate(String name) {
+    /** Returns whether the named suite uses the load estimated by this entry instead of the reported one. */
+    public static boolean usesCorrectedLoad(String name) {
         return name.endsWith("-corrected");
     }
 
--- a/tools/src/main/java/org/verbenatally/load/BenchTable.java
+++ b/tools/src/main/java/org/verbenatally/load/BenchTable.java
@@ -131,12 +131,12 @@
     }
 
     /**
-     * Returns each metric of the default policy divided by that of the best baseline. Candidates, which use this
-     * system's estimates, are not baselines.
+     * Returns each metric of the default policy divided by that of the best baseline. Suites that use this
+     * system's estimates are not baselines.
      */
     private static JsonObject ratios(Row defaultRow, List<Row> group) {
         List<Row> baselines = group.stream()
-                .filter(r -> !r.policy().equals(PolicySuite.DEFAULT) && !PolicySuite.isCandidate(r.policy()))
+                .filter(r -> !r.policy().equals(PolicySuite.DEFAULT) && !PolicySuite.usesCorrectedLoad(r.policy()))
                 .toList();
         return new JsonObject()
                 .put("load", defaultRow.load())
