--- a/core/src/main/java/org/verbenatally/policy/BudgetedRetryPolicy.java
+++ b/core/src/main/java/org/verbenatally/policy/BudgetedRetryPolicy.java
@@ -67,7 +67,7 @@
         if (input.attempts() >= input.kind().maxAttempts() || input.suspect() && input.attempts() > 1) {
             return false;
         }
-        return input.kind().repeatable() || !input.mayHaveReachedTarget();
+        return input.kind().repeatable() || !input.mayHaveRun();
     }
 
     /** Counts a success, which earns a part of a later retry. */
--- a/core/src/main/java/org/verbenatally/policy/RetryInput.java
+++ b/core/src/main/java/org/verbenatally/policy/RetryInput.java
@@ -15,7 +15,8 @@
  * @param target the target of the failed attempt
  * @param end how the attempt ended
  * @param attempts attempts made so far, including the failed one
- * @param mayHaveReachedTarget whether a byte of the request may have reached a target
+ * @param mayHaveRun whether the target may have run the request: a byte of it may have been sent, and the target did
+ *     not refuse it
  * @param delivered whether a token or byte of the response was delivered to the caller
  * @param suspect whether the request is suspected of crashing targets
  * @param remainingTime time until the request's deadline
@@ -26,7 +27,7 @@
         TargetId target,
         AttemptEnd end,
         int attempts,
-        boolean mayHaveReachedTarget,
+        boolean mayHaveRun,
         boolean delivered,
         boolean suspect,
         Duration remainingTime) {
