--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -19,7 +19,7 @@
 import org.verbenatally.core.StepException;
 import org.verbenatally.core.TargetId;
 import org.verbenatally.entry.operator.EntryMetrics;
-import org.verbenatally.entry.operator.Service;
+import org.verbenatally.entry.operator.ServiceResult;
 import org.verbenatally.entry.target.EngineStream;
 import org.verbenatally.entry.target.TokenFeed;
 import org.verbenatally.policy.AttemptEnd;
@@ -335,7 +335,7 @@
                         response.onEnd(end.tokens());
                         exchange.note("done after " + end.tokens() + " tokens");
                         components.metrics().answered(request.kind().name(), Outcome.DONE);
-                        recordService(tokenLatency.service());
+                        recordServiceResult(tokenLatency.serviceResult());
                         return Attempt.done();
                     }
                     case TokenFeed.Disconnected disconnected -> throw new IllegalStateException(disconnected.message());
@@ -399,16 +399,16 @@
                 .filter(reason -> reason == StopReason.ABANDONED || reason == StopReason.CANCELLED)
                 .isPresent();
         if (!endedByCaller) {
-            recordService(problem.outcome() == Outcome.NOT_RUN ? Service.REFUSED : Service.LOST);
+            recordServiceResult(problem.outcome() == Outcome.NOT_RUN ? ServiceResult.REFUSED : ServiceResult.LOST);
         }
         response.fail(problem);
     }
 
-    private void recordService(Service service) {
+    private void recordServiceResult(ServiceResult serviceResult) {
         components
                 .metrics()
                 .budget()
-                .count(request.kind().name(), request.organisation().id(), service);
+                .count(request.kind().name(), request.organisation().id(), serviceResult);
     }
 
     private String streamToken(TargetId target, GenerationId generation) {
--- a/entry/src/main/java/org/verbenatally/entry/caller/TokenLatency.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/TokenLatency.java
@@ -5,7 +5,7 @@
 
 import org.verbenatally.config.Deployment;
 import org.verbenatally.entry.operator.EntryMetrics;
-import org.verbenatally.entry.operator.Service;
+import org.verbenatally.entry.operator.ServiceResult;
 
 /** Measures the latency of one stream's tokens against the latency levels of the deployment. Used by one task. */
 final class TokenLatency {
@@ -45,10 +45,10 @@
      * Returns how a complete response was served. It has stalled if a larger share of its tokens than the objective
      * allows came after too long a gap.
      */
-    Service service() {
+    ServiceResult serviceResult() {
         if (firstTokenLate) {
-            return Service.LATE;
+            return ServiceResult.LATE;
         }
-        return lateGaps <= (1 - levels.objective()) * tokens ? Service.MET : Service.STALLED;
+        return lateGaps <= (1 - levels.objective()) * tokens ? ServiceResult.MET : ServiceResult.STALLED;
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -21,7 +21,7 @@
 import org.verbenatally.entry.key.CallResult;
 import org.verbenatally.entry.key.CallRunner;
 import org.verbenatally.entry.key.KeyedCalls;
-import org.verbenatally.entry.operator.Service;
+import org.verbenatally.entry.operator.ServiceResult;
 import org.verbenatally.policy.Fingerprint;
 
 /** Handles work, completion and key requests. */
@@ -211,13 +211,13 @@
 
     private void respond(Exchange exchange, Kind kind, CallResult result) {
         components.metrics().answered(kind.name(), result.outcome());
-        Service service =
+        ServiceResult serviceResult =
                 switch (result.outcome()) {
-                    case DONE -> Service.MET;
-                    case NOT_RUN -> Service.REFUSED;
-                    case UNKNOWN -> Service.LOST;
+                    case DONE -> ServiceResult.MET;
+                    case NOT_RUN -> ServiceResult.REFUSED;
+                    case UNKNOWN -> ServiceResult.LOST;
                 };
-        components.metrics().budget().count(kind.name(), exchange.organisation().id(), service);
+        components.metrics().budget().count(kind.name(), exchange.organisation().id(), serviceResult);
         if (result.outcome() == Outcome.DONE) {
             exchange.note("answered by " + result.peer() + " with status " + result.status());
             exchange.succeed(result.status(), "application/json", Buffer.buffer(result.body()));
--- a/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
@@ -43,22 +43,22 @@
             counts = new int[slots][];
         }
 
-        void count(long time, Service service) {
+        void count(long time, ServiceResult result) {
             int slot = (int) (time % slotTimes.length);
             if (counts[slot] == null || slotTimes[slot] != time) {
                 slotTimes[slot] = time;
-                counts[slot] = new int[Service.values().length];
+                counts[slot] = new int[ServiceResult.values().length];
             }
-            counts[slot][service.ordinal()]++;
+            counts[slot][result.ordinal()]++;
         }
 
         /**
-         * Returns the count of each {@link Service} value over the latest slots, in the order of the values.
+         * Returns the count of each {@link ServiceResult} value over the latest slots, in the order of the values.
          *
          * @param from first slot time to include
          */
         long[] sumSince(long from) {
-            long[] sums = new long[Service.values().length];
+            long[] sums = new long[ServiceResult.values().length];
             for (int slot = 0; slot < counts.length; slot++) {
                 if (counts[slot] != null && slotTimes[slot] >= from) {
                     for (int i = 0; i < sums.length; i++) {
@@ -81,11 +81,11 @@
     }
 
     /** Counts a request. Must not be called for a request that its caller cancelled. */
-    public synchronized void count(KindName kind, OrganisationId organisation, Service service) {
-        kinds.computeIfAbsent(kind, k -> new RingCounter(HISTORY_MINUTES)).count(minute(), service);
+    public synchronized void count(KindName kind, OrganisationId organisation, ServiceResult result) {
+        kinds.computeIfAbsent(kind, k -> new RingCounter(HISTORY_MINUTES)).count(minute(), result);
         organisations
                 .computeIfAbsent(organisation, k -> new RingCounter(HISTORY_MINUTES / ORGANISATION_SLOT_MINUTES))
-                .count(minute() / ORGANISATION_SLOT_MINUTES, service);
+                .count(minute() / ORGANISATION_SLOT_MINUTES, result);
     }
 
     /** Returns the number of full minutes since this budget was created. */
@@ -133,11 +133,11 @@
     private static JsonObject summary(long[] sums, double objective) {
         JsonObject summary = new JsonObject();
         long requests = 0;
-        for (Service service : Service.values()) {
-            requests += sums[service.ordinal()];
-            summary.put(service.name().toLowerCase(Locale.ROOT), sums[service.ordinal()]);
+        for (ServiceResult result : ServiceResult.values()) {
+            requests += sums[result.ordinal()];
+            summary.put(result.name().toLowerCase(Locale.ROOT), sums[result.ordinal()]);
         }
-        long missed = requests - sums[Service.MET.ordinal()];
+        long missed = requests - sums[ServiceResult.MET.ordinal()];
         double rate = requests == 0 ? 0 : (double) missed / requests / (1 - objective);
         return summary.put("requests", requests).put("missed", missed).put("burnRate", rate);
     }
--- a/entry/src/main/java/org/verbenatally/entry/operator/Service.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/ServiceResult.java
@@ -1,7 +1,7 @@
 package org.verbenatally.entry.operator;
 
 /** How a request was served, as counted by the error budget. */
-public enum Service {
+public enum ServiceResult {
     /** Complete and within its latency targets. */
     MET,
     /** Complete, but the first token or the complete response was late. */
