--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -408,7 +408,7 @@
         components
                 .metrics()
                 .budget()
-                .count(request.kind().name(), request.organisation().id(), serviceResult);
+                .record(request.kind().name(), request.organisation().id(), serviceResult);
     }
 
     private String streamToken(TargetId target, GenerationId generation) {
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -217,7 +217,10 @@
                     case NOT_RUN -> ServiceResult.REFUSED;
                     case UNKNOWN -> ServiceResult.LOST;
                 };
-        components.metrics().budget().count(kind.name(), exchange.organisation().id(), serviceResult);
+        components
+                .metrics()
+                .budget()
+                .record(kind.name(), exchange.organisation().id(), serviceResult);
         if (result.outcome() == Outcome.DONE) {
             exchange.note("answered by " + result.peer() + " with status " + result.status());
             exchange.succeed(result.status(), "application/json", Buffer.buffer(result.body()));
--- a/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
@@ -80,8 +80,8 @@
         this.startNanos = nanos.getAsLong();
     }
 
-    /** Counts a request. Must not be called for a request that its caller cancelled. */
-    public synchronized void count(KindName kind, OrganisationId organisation, ServiceResult result) {
+    /** Records how a request was served. Must not be called for a request that its caller cancelled. */
+    public synchronized void record(KindName kind, OrganisationId organisation, ServiceResult result) {
         kinds.computeIfAbsent(kind, k -> new RingCounter(HISTORY_MINUTES)).count(minute(), result);
         organisations
                 .computeIfAbsent(organisation, k -> new RingCounter(HISTORY_MINUTES / ORGANISATION_SLOT_MINUTES))
