--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -120,7 +120,7 @@
 
     /** Returns the consumption of the error budget, by kind and by organisation. */
     JsonObject errorBudget() {
-        return metrics.budget()
+        return metrics.errorBudget()
                 .report(config.deployment().map(d -> d.levels().objective()).orElse(DEFAULT_OBJECTIVE))
                 .put("instance", instance);
     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerHandler.java
@@ -67,7 +67,7 @@
     }
 
     private void fail(Exchange exchange, Problem problem) {
-        components.metrics().failed(problem.step());
+        components.metrics().countFailure(problem.step());
         try {
             exchange.fail(problem);
         } catch (RuntimeException e) {
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
@@ -103,10 +103,11 @@
                 new LiveRuns());
         CallRunner runner = new ServiceCalls(components, context);
         this.keyedCalls = new KeyedCalls(issuer, runner, peers, timer);
-        metrics.gauge("verbenatally.open.requests", openRequests::get);
-        metrics.gauge("verbenatally.open.generations", () -> components.runs().count());
-        metrics.gauge("verbenatally.used.keys", () -> keyedCalls.store().used());
-        metrics.gauge("verbenatally.connections", idleConnections::count);
+        metrics.registerGauge("verbenatally.open.requests", openRequests::get);
+        metrics.registerGauge(
+                "verbenatally.open.generations", () -> components.runs().count());
+        metrics.registerGauge("verbenatally.used.keys", () -> keyedCalls.store().used());
+        metrics.registerGauge("verbenatally.connections", idleConnections::count);
         timer.every(Duration.ofSeconds(5), tick -> idleConnections.closeIdle());
         timer.every(
                 Duration.ofMinutes(1),
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -100,7 +100,7 @@
         this.response = Objects.requireNonNull(response, "response");
         this.request = Objects.requireNonNull(request, "request");
         EntryMetrics.TokenMeters meters =
-                components.metrics().tokens(request.kind().name());
+                components.metrics().tokenMeters(request.kind().name());
         this.tokenLatency = new TokenLatency(
                 meters, request.startNanos(), components.config().deployment());
     }
@@ -199,7 +199,7 @@
                 return;
             }
             exchange.note("retry: " + attempt.problem().get().detail());
-            components.metrics().retried(request.kind().name());
+            components.metrics().countRetry(request.kind().name());
             pause(delay.get());
             exclude.add(target);
             if (exclude.size() >= components.targetCount(request.kind())) {
@@ -331,10 +331,10 @@
                         response.onToken(token.offset(), token.text());
                     }
                     case TokenFeed.End end -> {
-                        components.metrics().preempted(request.kind().name(), end.preemptions());
+                        components.metrics().countPreemptions(request.kind().name(), end.preemptions());
                         response.onEnd(end.tokens());
                         exchange.note("done after " + end.tokens() + " tokens");
-                        components.metrics().answered(request.kind().name(), Outcome.DONE);
+                        components.metrics().countOutcome(request.kind().name(), Outcome.DONE);
                         recordServiceResult(tokenLatency.serviceResult());
                         return Attempt.done();
                     }
@@ -345,7 +345,7 @@
             return onGenerationLost(opened, e);
         } finally {
             components.runs().detach(opened.generation(), this);
-            components.metrics().resumed(request.kind().name(), opened.resumeCount());
+            components.metrics().countResumes(request.kind().name(), opened.resumeCount());
         }
     }
 
@@ -393,8 +393,8 @@
     private void fail(Problem original) {
         Problem problem =
                 mayHaveRun && original.outcome() == Outcome.NOT_RUN ? original.withOutcome(Outcome.UNKNOWN) : original;
-        components.metrics().answered(request.kind().name(), problem.outcome());
-        components.metrics().failed(problem.step());
+        components.metrics().countOutcome(request.kind().name(), problem.outcome());
+        components.metrics().countFailure(problem.step());
         boolean endedByCaller = stopReason()
                 .filter(reason -> reason == StopReason.ABANDONED || reason == StopReason.CANCELLED)
                 .isPresent();
@@ -407,7 +407,7 @@
     private void recordServiceResult(ServiceResult serviceResult) {
         components
                 .metrics()
-                .budget()
+                .errorBudget()
                 .record(request.kind().name(), request.organisation().id(), serviceResult);
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
@@ -115,7 +115,7 @@
     }
 
     private void startRetry() {
-        calls.components().metrics().retried(call.kind().name());
+        calls.components().metrics().countRetry(call.kind().name());
         startAttempt();
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -210,7 +210,7 @@
     }
 
     private void respond(Exchange exchange, Kind kind, CallResult result) {
-        components.metrics().answered(kind.name(), result.outcome());
+        components.metrics().countOutcome(kind.name(), result.outcome());
         ServiceResult serviceResult =
                 switch (result.outcome()) {
                     case DONE -> ServiceResult.MET;
@@ -219,7 +219,7 @@
                 };
         components
                 .metrics()
-                .budget()
+                .errorBudget()
                 .record(kind.name(), exchange.organisation().id(), serviceResult);
         if (result.outcome() == Outcome.DONE) {
             exchange.note("answered by " + result.peer() + " with status " + result.status());
--- a/entry/src/main/java/org/verbenatally/entry/operator/EntryMetrics.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/EntryMetrics.java
@@ -18,7 +18,7 @@
     private static final Duration[] TOKEN_GAP_BUCKETS = buckets(13, 27, 54, 108, 216, 432, 1_000, 2_000, 10_000);
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final ErrorBudget budget = new ErrorBudget(System::nanoTime);
+    private final ErrorBudget errorBudget = new ErrorBudget(System::nanoTime);
 
     /** Returns histogram bucket bounds given in milliseconds. */
     private static Duration[] buckets(long... millis) {
@@ -30,23 +30,23 @@
     }
 
     /** Counts a completed request by its kind and outcome. */
-    public void answered(KindName kind, Outcome outcome) {
+    public void countOutcome(KindName kind, Outcome outcome) {
         registry.counter("verbenatally.requests", "kind", kind.value(), "outcome", outcome.text())
                 .increment();
     }
 
     /** Counts a refusal or failure by the step at which it occurred. */
-    public void failed(Step step) {
+    public void countFailure(Step step) {
         registry.counter("verbenatally.failures", "step", step.text()).increment();
     }
 
     /** Returns the error budget of the service levels. */
-    public ErrorBudget budget() {
-        return budget;
+    public ErrorBudget errorBudget() {
+        return errorBudget;
     }
 
     /** Counts an attempt after the first. */
-    public void retried(KindName kind) {
+    public void countRetry(KindName kind) {
         registry.counter("verbenatally.retries", "kind", kind.value()).increment();
     }
 
@@ -55,17 +55,17 @@
      *
      * @param resumes number of times
      */
-    public void resumed(KindName kind, int resumes) {
+    public void countResumes(KindName kind, int resumes) {
         registry.counter("verbenatally.resumes", "kind", kind.value()).increment(resumes);
     }
 
     /** Counts the preemptions that an engine reported for one generation. */
-    public void preempted(KindName kind, long preemptions) {
+    public void countPreemptions(KindName kind, long preemptions) {
         registry.counter("verbenatally.preemptions", "kind", kind.value()).increment(preemptions);
     }
 
     /** Returns the meters of token delivery for one kind. A stream keeps them to avoid a lookup for each token. */
-    public TokenMeters tokens(KindName kind) {
+    public TokenMeters tokenMeters(KindName kind) {
         return new TokenMeters(
                 timer("verbenatally.first.token", kind, FIRST_TOKEN_BUCKETS),
                 timer("verbenatally.token.gap", kind, TOKEN_GAP_BUCKETS),
@@ -89,7 +89,7 @@
     public record TokenMeters(Timer firstToken, Timer gap, Counter stallSeconds) {}
 
     /** Registers a gauge whose value is read on each scrape. */
-    public void gauge(String name, Supplier<Number> value) {
+    public void registerGauge(String name, Supplier<Number> value) {
         Gauge.builder(name, value).register(registry);
     }
 
