--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -143,7 +143,7 @@
     }
 
     private void onCallerDisconnect() {
-        exchange.note("the caller disconnected");
+        exchange.addTraceStep("the caller disconnected");
         if (response.isResumable()) {
             vertx.setTimer(RESUME_TIMEOUT.toMillis(), id -> stop(StopReason.ABANDONED));
         } else {
@@ -185,7 +185,7 @@
                 return;
             }
             TargetId target = inFlight.get().target();
-            exchange.note("attempt " + attempts + " on " + target);
+            exchange.addTraceStep("attempt " + attempts + " on " + target);
             Attempt attempt = runAttempt(inFlight.get());
             inFlight.get().end(attempt.end());
             if (attempt.problem().isEmpty()) {
@@ -198,7 +198,7 @@
                 fail(attempt.problem().get());
                 return;
             }
-            exchange.note("retry: " + attempt.problem().get().detail());
+            exchange.addTraceStep("retry: " + attempt.problem().get().detail());
             components.metrics().countRetry(request.kind().name());
             pause(delay.get());
             exclude.add(target);
@@ -247,7 +247,7 @@
         try {
             InFlightRequest inFlight =
                     Future.fromCompletionStage(future, context).await();
-            exchange.note("routed");
+            exchange.addTraceStep("routed");
             return Optional.of(inFlight);
         } catch (StepException e) {
             fail(Problem.of(e));
@@ -333,7 +333,7 @@
                     case TokenFeed.End end -> {
                         components.metrics().countPreemptions(request.kind().name(), end.preemptions());
                         response.onEnd(end.tokens());
-                        exchange.note("done after " + end.tokens() + " tokens");
+                        exchange.addTraceStep("done after " + end.tokens() + " tokens");
                         components.metrics().countOutcome(request.kind().name(), Outcome.DONE);
                         recordServiceResult(tokenLatency.serviceResult());
                         return Attempt.done();
@@ -351,7 +351,7 @@
 
     private Attempt onGenerationLost(EngineStream opened, EngineStream.GenerationLostException e) {
         TargetId target = opened.target().id();
-        exchange.note("generation ended on " + target + ": " + e.getMessage());
+        exchange.addTraceStep("generation ended on " + target + ": " + e.getMessage());
         Optional<StopReason> reason = stopReason();
         if (reason.isPresent()) {
             return endStopped(opened, reason.get());
--- a/entry/src/main/java/org/verbenatally/entry/caller/Exchange.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/Exchange.java
@@ -91,10 +91,10 @@
         this.trace = trace;
     }
 
-    /** Adds a line to the request's trace, if one was opened. */
-    void note(String text) {
+    /** Adds a step to the request's trace, if one was started. */
+    void addTraceStep(String text) {
         if (trace != null) {
-            trace.note(text);
+            trace.addStep(text);
         }
     }
 
@@ -172,7 +172,7 @@
             // An earlier request with this key may have run; only the key's owner knows.
             reported = problem.withOutcome(Outcome.UNKNOWN);
         }
-        note("failed at " + reported.step().text() + ": " + reported.detail());
+        addTraceStep("failed at " + reported.step().text() + ": " + reported.detail());
         if (response.headWritten() || response.ended() || response.closed()) {
             return;
         }
--- a/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/IdempotentCall.java
@@ -57,7 +57,7 @@
                 ? Set.of()
                 : Set.copyOf(triedTargets);
         calls.context().runOnContext(v -> {
-            exchange.note("attempt " + number);
+            exchange.addTraceStep("attempt " + number);
             ServiceCalls.Attempt attempt = calls.runAttempt(call, exclude, number > 1, () -> onSend());
             onEnd(attempt);
         });
@@ -79,7 +79,7 @@
                 return;
             }
         }
-        exchange.note("no response for " + HEDGE_DELAY.toMillis() + " ms, starting a second attempt");
+        exchange.addTraceStep("no response for " + HEDGE_DELAY.toMillis() + " ms, starting a second attempt");
         startRetry();
     }
 
@@ -106,7 +106,7 @@
                 return;
             }
         }
-        exchange.note("retry: " + attempt.result().message());
+        exchange.addTraceStep("retry: " + attempt.result().message());
         vertx.setTimer(Math.max(1, delay.get().toMillis()), id -> startRetry());
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/caller/StreamHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/StreamHandler.java
@@ -38,11 +38,11 @@
         long from = nextOffset(exchange, token, kind.maxTokens());
         exchange.setTrace(components
                 .log()
-                .open(
+                .startTrace(
                         exchange.id(),
                         exchange.organisation().id().value(),
                         kind.name().value()));
-        exchange.note("resume at offset " + from + " on " + claims.target());
+        exchange.addTraceStep("resume at offset " + from + " on " + claims.target());
         Target target = target(claims);
         // Stop the earlier run before attaching, so that it does not resume when the engine closes its connection.
         components.runs().find(claims.generation()).ifPresent(run -> run.stop(EngineRun.StopReason.SUPERSEDED));
@@ -66,7 +66,7 @@
             try {
                 return components.clients().engines().resume(target, claims.generation(), from);
             } catch (TargetFailure e) {
-                exchange.note("resume failed: " + e.getMessage());
+                exchange.addTraceStep("resume failed: " + e.getMessage());
                 refusedConnections += e.reason() == TargetFailure.Cause.CONNECTION_REFUSED ? 1 : 0;
                 if (e.reason() == TargetFailure.Cause.UNKNOWN_GENERATION || refusedConnections > 1) {
                     throw generationLost(claims, e.getMessage());
--- a/entry/src/main/java/org/verbenatally/entry/caller/StreamResponse.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/StreamResponse.java
@@ -115,7 +115,7 @@
     @Override
     public void fail(Problem problem) {
         if (exchange.response().headWritten()) {
-            exchange.note("failed at " + problem.step().text() + ": " + problem.detail());
+            exchange.addTraceStep("failed at " + problem.step().text() + ": " + problem.detail());
             writer.write(format.error(problem.json(exchange.id())));
             writer.end();
         } else {
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -70,11 +70,11 @@
     private void openTrace(Exchange exchange, Kind kind) {
         exchange.setTrace(components
                 .log()
-                .open(
+                .startTrace(
                         exchange.id(),
                         exchange.organisation().id().value(),
                         kind.name().value()));
-        exchange.note("accepted");
+        exchange.addTraceStep("accepted");
     }
 
     private Deployment deployment() {
@@ -222,7 +222,7 @@
                 .errorBudget()
                 .record(kind.name(), exchange.organisation().id(), serviceResult);
         if (result.outcome() == Outcome.DONE) {
-            exchange.note("answered by " + result.peer() + " with status " + result.status());
+            exchange.addTraceStep("answered by " + result.peer() + " with status " + result.status());
             exchange.succeed(result.status(), "application/json", Buffer.buffer(result.body()));
             return;
         }
--- a/entry/src/main/java/org/verbenatally/entry/operator/RequestLog.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/RequestLog.java
@@ -19,7 +19,7 @@
     };
 
     /** Starts the trace of a request; a later request with the same id replaces it. */
-    public RequestTrace open(String request, String organisation, String kind) {
+    public RequestTrace startTrace(String request, String organisation, String kind) {
         RequestTrace trace = new RequestTrace(request, organisation, kind);
         synchronized (traces) {
             traces.remove(request);
--- a/entry/src/main/java/org/verbenatally/entry/operator/RequestTrace.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/RequestTrace.java
@@ -30,7 +30,7 @@
     }
 
     /** Adds a step that happens now. */
-    public synchronized void note(String text) {
+    public synchronized void addStep(String text) {
         if (steps.size() < MAX_STEPS) {
             steps.add(new Step((System.nanoTime() - startNanos) / 1_000_000, text));
         }
