--- a/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
@@ -142,7 +142,7 @@
     }
 
     /** Returns the number of used keys held here, including those of adopted tables. */
-    public int used() {
+    public int usedKeys() {
         lock.readLock().lock();
         try {
             return own.size()
