--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -69,7 +69,7 @@
                 .put("openRequests", callers.open())
                 .put("openGenerations", callers.generations())
                 .put("queued", dispatcher.queuedRequests())
-                .put("usedKeys", callers.keyedCalls().store().usedKeys());
+                .put("usedKeys", callers.keyedCalls().store().usedKeyCount());
         reason.ifPresent(text -> json.put("notReady", text));
         config.document()
                 .ifPresent(document -> json.put(
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
@@ -106,7 +106,7 @@
         metrics.registerGauge("verbenatally.open.requests", openRequests::get);
         metrics.registerGauge(
                 "verbenatally.open.generations", () -> components.runs().count());
-        metrics.registerGauge("verbenatally.used.keys", () -> keyedCalls.store().usedKeys());
+        metrics.registerGauge("verbenatally.used.keys", () -> keyedCalls.store().usedKeyCount());
         metrics.registerGauge("verbenatally.connections", idleConnections::count);
         timer.every(Duration.ofSeconds(5), tick -> idleConnections.closeIdle());
         timer.every(
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
@@ -127,7 +127,7 @@
     }
 
     /** Returns the number of used keys that this incarnation issued. */
-    int ownUsedKeys() {
+    int ownUsedKeyCount() {
         return own.size();
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** Returns the number of used keys held here, including those of adopted tables. */
-    public int usedKeys() {
+    public int usedKeyCount() {
         lock.readLock().lock();
         try {
             return own.size()
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
@@ -73,7 +73,7 @@
 
     /** Issues a key; returns empty if this instance is leaving or holds too many used keys. */
     public Optional<String> issue(OrganisationId organisation, KindName kind) {
-        return store.ownUsedKeys() >= KeyTable.MAX_KEYS_FOR_ISSUING
+        return store.ownUsedKeyCount() >= KeyTable.MAX_KEYS_FOR_ISSUING
                 ? Optional.empty()
                 : issuer.issue(organisation, kind);
     }
