--- a/entry/src/main/java/org/verbenatally/entry/caller/StreamTokens.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/StreamTokens.java
@@ -14,7 +14,7 @@
 import org.verbenatally.core.KindName;
 import org.verbenatally.core.OrganisationId;
 import org.verbenatally.core.TargetId;
-import org.verbenatally.entry.key.Signature;
+import org.verbenatally.entry.key.TruncatedHmac;
 
 /**
  * Signs and verifies stream tokens. A token names the engine, the generation, the organisation and the kind, so that
@@ -49,7 +49,7 @@
             throw new IllegalArgumentException("streamKeys must not be empty");
         }
         this.secrets = secrets.stream()
-                .map(s -> Signature.secret(s.getBytes(StandardCharsets.UTF_8)))
+                .map(s -> TruncatedHmac.secret(s.getBytes(StandardCharsets.UTF_8)))
                 .toList();
     }
 
@@ -59,13 +59,13 @@
         byte[] organisation = claims.organisation().value().getBytes(StandardCharsets.US_ASCII);
         byte[] kind = claims.kind().value().getBytes(StandardCharsets.US_ASCII);
         int length = 1 + GENERATION_BYTES + 3 + target.length + organisation.length + kind.length;
-        ByteBuffer bytes = ByteBuffer.allocate(length + Signature.BYTES);
+        ByteBuffer bytes = ByteBuffer.allocate(length + TruncatedHmac.BYTES);
         bytes.put(FORMAT_VERSION)
                 .put(HexFormat.of().parseHex(claims.generation().value()));
         putField(bytes, target);
         putField(bytes, organisation);
         putField(bytes, kind);
-        bytes.put(Signature.sign(secrets.getFirst(), bytes.array(), length));
+        bytes.put(TruncatedHmac.compute(secrets.getFirst(), bytes.array(), length));
         return Base64.getUrlEncoder().withoutPadding().encodeToString(bytes.array());
     }
 
@@ -80,7 +80,7 @@
         }
         try {
             byte[] bytes = Base64.getUrlDecoder().decode(token);
-            int length = bytes.length - Signature.BYTES;
+            int length = bytes.length - TruncatedHmac.BYTES;
             if (length < 1 || bytes[0] != FORMAT_VERSION || !hasValidSignature(bytes)) {
                 return Optional.empty();
             }
@@ -107,7 +107,7 @@
     private boolean hasValidSignature(byte[] bytes) {
         boolean valid = false;
         for (SecretKeySpec secret : secrets) {
-            valid |= Signature.isSigned(secret, bytes);
+            valid |= TruncatedHmac.isValid(secret, bytes);
         }
         return valid;
     }
--- a/entry/src/main/java/org/verbenatally/entry/key/IdempotencyKey.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/IdempotencyKey.java
@@ -45,7 +45,7 @@
         byte[] ownerBytes = owner.value().getBytes(StandardCharsets.US_ASCII);
         byte[] kindBytes = kind.value().getBytes(StandardCharsets.US_ASCII);
         int length = 1 + 4 * Long.BYTES + 2 + ownerBytes.length + kindBytes.length;
-        ByteBuffer out = ByteBuffer.allocate(length + Signature.BYTES);
+        ByteBuffer out = ByteBuffer.allocate(length + TruncatedHmac.BYTES);
         out.put(FORMAT_VERSION)
                 .putLong(incarnation.value())
                 .putLong(serial)
@@ -53,7 +53,7 @@
                 .putLong(organisationHash);
         out.put((byte) ownerBytes.length).put(ownerBytes);
         out.put((byte) kindBytes.length).put(kindBytes);
-        out.put(Signature.sign(secret, out.array(), length));
+        out.put(TruncatedHmac.compute(secret, out.array(), length));
         return Base64.getUrlEncoder().withoutPadding().encodeToString(out.array());
     }
 
@@ -64,10 +64,10 @@
         }
         try {
             byte[] bytes = Base64.getUrlDecoder().decode(text);
-            if (bytes.length <= Signature.BYTES || bytes[0] != FORMAT_VERSION || !isCanonical(text, bytes)) {
+            if (bytes.length <= TruncatedHmac.BYTES || bytes[0] != FORMAT_VERSION || !isCanonical(text, bytes)) {
                 return Optional.empty();
             }
-            ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - Signature.BYTES - 1);
+            ByteBuffer in = ByteBuffer.wrap(bytes, 1, bytes.length - TruncatedHmac.BYTES - 1);
             Incarnation incarnation = new Incarnation(in.getLong());
             long serial = in.getLong();
             long issuedAtMs = in.getLong();
@@ -99,6 +99,6 @@
     /** Returns whether a key that {@link #parse} accepted was signed with the secret. */
     static boolean hasValidSignature(String text, SecretKeySpec secret) {
         byte[] bytes = Base64.getUrlDecoder().decode(text);
-        return Signature.isSigned(secret, bytes);
+        return TruncatedHmac.isValid(secret, bytes);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyIssuer.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyIssuer.java
@@ -38,7 +38,7 @@
         this.nanos = Objects.requireNonNull(nanos, "nanos");
         this.startNanos = nanos.getAsLong();
         new SecureRandom().nextBytes(secretBytes);
-        this.secret = Signature.secret(secretBytes);
+        this.secret = TruncatedHmac.secret(secretBytes);
     }
 
     /** Returns a new key, or empty after {@link #stop}. */
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyTable.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyTable.java
@@ -66,7 +66,7 @@
 
     KeyTable(byte[] secret, LongSupplier uptimeMs) {
         this.secretBytes = secret.clone();
-        this.secret = Signature.secret(secret);
+        this.secret = TruncatedHmac.secret(secret);
         this.uptimeMs = Objects.requireNonNull(uptimeMs, "uptimeMs");
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/key/Signature.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/TruncatedHmac.java
@@ -8,24 +8,24 @@
 import java.util.Arrays;
 
 /**
- * Signs stream tokens and idempotency keys with HMAC-SHA256. Signatures are truncated to 128 bits, which RFC 2104
- * permits, because every event carries a stream token.
+ * Computes the message authentication codes (MACs) that sign stream tokens and idempotency keys: HMAC-SHA256 truncated
+ * to 128 bits, which RFC 2104 permits, because every event carries a stream token.
  */
-public final class Signature {
-    /** Length of a signature in bytes. */
+public final class TruncatedHmac {
+    /** Length of a MAC in bytes. */
     public static final int BYTES = 16;
 
     private static final String ALGORITHM = "HmacSHA256";
 
-    private Signature() {}
+    private TruncatedHmac() {}
 
-    /** Returns the signing key made of the given secret bytes. */
+    /** Returns the MAC key made of the given secret bytes. */
     public static SecretKeySpec secret(byte[] bytes) {
         return new SecretKeySpec(bytes, ALGORITHM);
     }
 
-    /** Returns the signature of the first {@code length} bytes. */
-    public static byte[] sign(SecretKeySpec secret, byte[] bytes, int length) {
+    /** Returns the MAC of the first {@code length} bytes. */
+    public static byte[] compute(SecretKeySpec secret, byte[] bytes, int length) {
         try {
             Mac mac = Mac.getInstance(ALGORITHM);
             mac.init(secret);
@@ -36,9 +36,9 @@
         }
     }
 
-    /** Returns whether the bytes end with the signature of all bytes before it; compares in constant time. */
-    public static boolean isSigned(SecretKeySpec secret, byte[] bytes) {
+    /** Returns whether the bytes end with the MAC of all bytes before it; compares in constant time. */
+    public static boolean isValid(SecretKeySpec secret, byte[] bytes) {
         int length = bytes.length - BYTES;
-        return MessageDigest.isEqual(sign(secret, bytes, length), Arrays.copyOfRange(bytes, length, bytes.length));
+        return MessageDigest.isEqual(compute(secret, bytes, length), Arrays.copyOfRange(bytes, length, bytes.length));
     }
 }
