--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
@@ -17,8 +17,8 @@
 import io.vertx.core.http.HttpServerOptions;
 import org.verbenatally.config.ConfigHolder;
 import org.verbenatally.config.Deployment;
-import org.verbenatally.entry.key.CallRunner;
 import org.verbenatally.entry.key.KeyIssuer;
+import org.verbenatally.entry.key.KeyedCallRunner;
 import org.verbenatally.entry.key.KeyedCalls;
 import org.verbenatally.entry.operator.EntryMetrics;
 import org.verbenatally.entry.operator.RequestLog;
@@ -101,7 +101,7 @@
                 log,
                 new OrganisationLimits(),
                 new LiveRuns());
-        CallRunner runner = new ServiceCalls(components, context);
+        KeyedCallRunner runner = new ServiceCalls(components, context);
         this.keyedCalls = new KeyedCalls(issuer, runner, peers, timer);
         metrics.registerGauge("verbenatally.open.requests", openRequests::get);
         metrics.registerGauge(
--- a/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
@@ -24,7 +24,7 @@
 import org.verbenatally.core.StepException;
 import org.verbenatally.core.TargetId;
 import org.verbenatally.entry.key.CallResult;
-import org.verbenatally.entry.key.CallRunner;
+import org.verbenatally.entry.key.KeyedCallRunner;
 import org.verbenatally.entry.target.ServiceClient;
 import org.verbenatally.entry.target.TargetFailure;
 import org.verbenatally.policy.AttemptEnd;
@@ -38,7 +38,7 @@
  * Sends calls to plain services, and runs calls with an idempotency key for their owner. Each keyed call is one task on
  * the given context.
  */
-final class ServiceCalls implements CallRunner {
+final class ServiceCalls implements KeyedCallRunner {
     private static final Logger LOG = Logger.getLogger(ServiceCalls.class);
     private static final int SERVER_ERROR = 500;
     private static final int SUCCESS = 200;
@@ -87,7 +87,7 @@
     }
 
     @Override
-    public CompletableFuture<CallResult> run(CallRunner.Call call) {
+    public CompletableFuture<CallResult> run(KeyedCallRunner.KeyedCall call) {
         CompletableFuture<CallResult> result = new CompletableFuture<>();
         context.runOnContext(v -> {
             try {
@@ -102,7 +102,7 @@
     }
 
     /** Sends the call at most once: it is tried again only if no byte has been sent. */
-    private CallResult runOnce(CallRunner.Call call) {
+    private CallResult runOnce(KeyedCallRunner.KeyedCall call) {
         long pauseGeneration = components.timer().pauseGeneration();
         Optional<Deployment> deployment = components.config().deployment();
         Kind kind = deployment.map(d -> d.kinds().get(call.kind())).orElse(null);
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -19,7 +19,7 @@
 import org.verbenatally.core.Outcome;
 import org.verbenatally.core.Step;
 import org.verbenatally.entry.key.CallResult;
-import org.verbenatally.entry.key.CallRunner;
+import org.verbenatally.entry.key.KeyedCallRunner;
 import org.verbenatally.entry.key.KeyedCalls;
 import org.verbenatally.entry.operator.ServiceResult;
 import org.verbenatally.policy.Fingerprint;
@@ -187,7 +187,7 @@
         }
         parseObject(body);
         CallResult result = Future.fromCompletionStage(
-                        keyedCalls.call(new CallRunner.Call(
+                        keyedCalls.call(new KeyedCallRunner.KeyedCall(
                                 exchange.id(),
                                 exchange.organisation().id(),
                                 kind.name(),
--- a/entry/src/main/java/org/verbenatally/entry/key/ForwardFrames.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/ForwardFrames.java
@@ -20,10 +20,10 @@
     private ForwardFrames() {}
 
     /** Reads a forwarded call; empty if a field is not valid. */
-    static Optional<CallRunner.Call> read(ForwardCall frame, long nowNanos) {
+    static Optional<KeyedCallRunner.KeyedCall> read(ForwardCall frame, long nowNanos) {
         try {
             long deadlineMs = Math.clamp(frame.getDeadlineMs(), 0, MAX_DEADLINE_MS);
-            return Optional.of(new CallRunner.Call(
+            return Optional.of(new KeyedCallRunner.KeyedCall(
                     frame.getRequest(),
                     new OrganisationId(frame.getOrganisation()),
                     new KindName(frame.getKind()),
--- a/entry/src/main/java/org/verbenatally/entry/key/CallRunner.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyedCallRunner.java
@@ -10,7 +10,7 @@
  * pause of the process was detected.
  */
 @FunctionalInterface
-public interface CallRunner {
+public interface KeyedCallRunner {
 
     /**
      * Runs a call whose key has been recorded as used.
@@ -18,7 +18,7 @@
      * @param call the call
      * @return the final result; the future never fails
      */
-    CompletableFuture<CallResult> run(Call call);
+    CompletableFuture<CallResult> run(KeyedCall call);
 
     /**
      * A call with an idempotency key.
@@ -30,6 +30,6 @@
      * @param deadlineNanos deadline on the monotonic clock, in nanoseconds
      * @param body JSON request body
      */
-    record Call(
+    record KeyedCall(
             String request, OrganisationId organisation, KindName kind, String key, long deadlineNanos, byte[] body) {}
 }
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyedCalls.java
@@ -44,7 +44,7 @@
 
     private final KeyIssuer issuer;
     private final KeyStore store;
-    private final CallRunner runner;
+    private final KeyedCallRunner runner;
     private final PeerNetwork peers;
     private final TimerService timer;
     private final AtomicLong callIds = new AtomicLong();
@@ -57,7 +57,7 @@
      * @param peers links to the owners of all other keys
      * @param timer timer service
      */
-    public KeyedCalls(KeyIssuer issuer, CallRunner runner, PeerNetwork peers, TimerService timer) {
+    public KeyedCalls(KeyIssuer issuer, KeyedCallRunner runner, PeerNetwork peers, TimerService timer) {
         this.issuer = Objects.requireNonNull(issuer, "issuer");
         this.runner = Objects.requireNonNull(runner, "runner");
         this.peers = Objects.requireNonNull(peers, "peers");
@@ -84,11 +84,11 @@
     }
 
     /** Runs a call, or returns the result of an earlier call with the same key. The future never fails. */
-    public CompletableFuture<CallResult> call(CallRunner.Call call) {
+    public CompletableFuture<CallResult> call(KeyedCallRunner.KeyedCall call) {
         return call(call, true);
     }
 
-    private CompletableFuture<CallResult> call(CallRunner.Call call, boolean mayForward) {
+    private CompletableFuture<CallResult> call(KeyedCallRunner.KeyedCall call, boolean mayForward) {
         Optional<IdempotencyKey> parsed = IdempotencyKey.parse(call.key());
         if (parsed.isEmpty()) {
             return completed(notRun("the text is not an idempotency key"));
@@ -120,7 +120,7 @@
     }
 
     /** Handles the call once the announcement of a transfer, which may still be in transit, has arrived. */
-    private CompletableFuture<CallResult> awaitAnnouncement(CallRunner.Call call, int remainingPolls) {
+    private CompletableFuture<CallResult> awaitAnnouncement(KeyedCallRunner.KeyedCall call, int remainingPolls) {
         CompletableFuture<CallResult> result = new CompletableFuture<>();
         timer.after(ANNOUNCEMENT_POLL_INTERVAL, () -> {
             boolean announced = IdempotencyKey.parse(call.key())
@@ -139,7 +139,7 @@
         return result;
     }
 
-    private CompletableFuture<CallResult> claim(KeyTable table, IdempotencyKey key, CallRunner.Call call) {
+    private CompletableFuture<CallResult> claim(KeyTable table, IdempotencyKey key, KeyedCallRunner.KeyedCall call) {
         if (!table.hasValidSignature(call.key())) {
             return completed(notRun("the signature of the key is not valid"));
         }
@@ -153,7 +153,7 @@
         };
     }
 
-    private CompletableFuture<CallResult> run(KeyTable table, CallRunner.Call call) {
+    private CompletableFuture<CallResult> run(KeyTable table, KeyedCallRunner.KeyedCall call) {
         CompletableFuture<CallResult> running;
         try {
             running = runner.run(call);
@@ -172,14 +172,14 @@
     }
 
     private CompletableFuture<CallResult> awaitUntilDeadline(
-            CompletableFuture<CallResult> result, CallRunner.Call call) {
+            CompletableFuture<CallResult> result, KeyedCallRunner.KeyedCall call) {
         long remainingNanos = Math.max(1, call.deadlineNanos() - timer.nanos());
         CallResult running =
                 unknown(Step.SEND, issuer.self().value(), "an earlier call with the same key is still running");
         return result.copy().completeOnTimeout(running, remainingNanos, TimeUnit.NANOSECONDS);
     }
 
-    private CompletableFuture<CallResult> forward(InstanceId to, IdempotencyKey key, CallRunner.Call call) {
+    private CompletableFuture<CallResult> forward(InstanceId to, IdempotencyKey key, KeyedCallRunner.KeyedCall call) {
         long remainingMs = TimeUnit.NANOSECONDS.toMillis(call.deadlineNanos() - timer.nanos());
         ForwardCall frame = new ForwardCall(
                 callIds.incrementAndGet(),
@@ -217,7 +217,7 @@
 
     /** Handles a call that a peer forwarded. The future never fails. */
     public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall frame) {
-        Optional<CallRunner.Call> call = ForwardFrames.read(frame, timer.nanos());
+        Optional<KeyedCallRunner.KeyedCall> call = ForwardFrames.read(frame, timer.nanos());
         CompletableFuture<CallResult> result =
                 call.isEmpty() ? completed(notRun("the forwarded call is malformed")) : call(call.get(), false);
         return result.thenApply(r -> ForwardFrames.write(frame.getCallId(), r));
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
@@ -44,7 +44,7 @@
         private final Incarnation incarnation;
         final KeyedCalls calls;
         volatile boolean reachable = true;
-        volatile CallRunner runner = call -> CompletableFuture.completedFuture(
+        volatile KeyedCallRunner runner = call -> CompletableFuture.completedFuture(
                 CallResult.done(200, ("{\"run\":" + count(call.key()) + "}").getBytes(), "service"));
 
         Node(String name, long number) {
@@ -59,8 +59,8 @@
         }
 
         CompletableFuture<CallResult> call(String key) {
-            return calls.call(
-                    new CallRunner.Call("r", ORGANISATION, KIND, key, timer.nanos() + 5_000_000_000L, "{}".getBytes()));
+            return calls.call(new KeyedCallRunner.KeyedCall(
+                    "r", ORGANISATION, KIND, key, timer.nanos() + 5_000_000_000L, "{}".getBytes()));
         }
 
         Outcome outcome(String key) {
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
@@ -95,13 +95,13 @@
         assertThat(a.outcome(forged)).isEqualTo(Outcome.NOT_RUN);
         assertThat(a.outcome("no key")).isEqualTo(Outcome.NOT_RUN);
         assertThat(a.calls
-                        .call(new CallRunner.Call(
+                        .call(new KeyedCallRunner.KeyedCall(
                                 "r", new OrganisationId("gibe"), KeyFleet.KIND, key, deadline, new byte[0]))
                         .join()
                         .outcome())
                 .isEqualTo(Outcome.NOT_RUN);
         assertThat(a.calls
-                        .call(new CallRunner.Call(
+                        .call(new KeyedCallRunner.KeyedCall(
                                 "r", KeyFleet.ORGANISATION, new KindName("other"), key, deadline, new byte[0]))
                         .join()
                         .outcome())
@@ -116,7 +116,7 @@
         a.call(key).join();
 
         CallResult result = a.calls
-                .call(new CallRunner.Call(
+                .call(new KeyedCallRunner.KeyedCall(
                         "r",
                         KeyFleet.ORGANISATION,
                         KeyFleet.KIND,
