--- a/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
@@ -236,7 +236,7 @@
         boolean conclusive =
                 status >= SUCCESS && status < SERVER_ERROR && status != TIMEOUT && status != TOO_MANY_REQUESTS;
         if (conclusive) {
-            CallResult result = CallResult.done(status, response.body().getBytes(), id.value());
+            CallResult result = CallResult.completed(status, response.body().getBytes(), id.value());
             return new Attempt(result, AttemptEnd.DONE, Optional.of(id), true);
         }
         CallResult result =
--- a/entry/src/main/java/org/verbenatally/entry/key/CallResult.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/CallResult.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the result of a call to which the target responded. */
-    public static CallResult done(int status, byte[] body, String peer) {
+    public static CallResult completed(int status, byte[] body, String peer) {
         return new CallResult(Outcome.DONE, status, body, Optional.empty(), peer, "");
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
@@ -333,7 +333,7 @@
             outcome = Outcome.UNKNOWN;
         }
         return outcome == Outcome.DONE
-                ? CallResult.done(entry.getStatus(), entry.getBody(), "")
+                ? CallResult.completed(entry.getStatus(), entry.getBody(), "")
                 : CallResult.failed(outcome, Step.SEND, "", "result adopted from an instance that has left");
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
@@ -45,7 +45,7 @@
         final KeyedCalls calls;
         volatile boolean reachable = true;
         volatile KeyedCallRunner runner = call -> CompletableFuture.completedFuture(
-                CallResult.done(200, ("{\"run\":" + count(call.key()) + "}").getBytes(), "service"));
+                CallResult.completed(200, ("{\"run\":" + count(call.key()) + "}").getBytes(), "service"));
 
         Node(String name, long number) {
             id = new InstanceId(name);
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyTableTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyTableTest.java
@@ -63,7 +63,7 @@
         switch (claim(key)) {
             case KeyTable.Granted granted -> {
                 int run = fleet.count(key);
-                table.finish(key, CallResult.done(200, new byte[] {(byte) run}, "s"));
+                table.finish(key, CallResult.completed(200, new byte[] {(byte) run}, "s"));
             }
             case KeyTable.Duplicate duplicate ->
                 assertThat(duplicate
@@ -84,7 +84,7 @@
         CompletableFuture<CallResult> duplicate = ((KeyTable.Duplicate) claim(key)).result();
         assertThat(duplicate).isNotDone();
 
-        table.finish(key, CallResult.done(201, new byte[] {1}, "s"));
+        table.finish(key, CallResult.completed(201, new byte[] {1}, "s"));
 
         assertThat(duplicate.join().status()).isEqualTo(201);
     }
@@ -94,7 +94,7 @@
     void largeResponseIsNotStored() {
         String key = issue();
         claim(key);
-        table.finish(key, CallResult.done(200, new byte[100_000], "s"));
+        table.finish(key, CallResult.completed(200, new byte[100_000], "s"));
 
         CallResult later = ((KeyTable.Duplicate) claim(key)).result().join();
 
@@ -109,7 +109,7 @@
         String ended = issue();
         claim(running);
         claim(ended);
-        table.finish(ended, CallResult.done(200, new byte[0], "s"));
+        table.finish(ended, CallResult.completed(200, new byte[0], "s"));
         timer.advance(Duration.ofMillis(KeyTable.RETENTION_MS + 1));
 
         table.evictExpired();
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
@@ -63,7 +63,7 @@
         a.runner = call ->
                 CompletableFuture.completedFuture(CallResult.failed(Outcome.NOT_RUN, Step.ADMIT, "a", "overloaded"));
         assertThat(b.outcome(key)).isEqualTo(Outcome.NOT_RUN);
-        a.runner = call -> CompletableFuture.completedFuture(CallResult.done(200, new byte[0], "s"));
+        a.runner = call -> CompletableFuture.completedFuture(CallResult.completed(200, new byte[0], "s"));
 
         assertThat(a.outcome(key)).isEqualTo(Outcome.NOT_RUN);
     }
