--- a/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
+++ b/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
@@ -54,20 +54,20 @@
      * @throws InterruptedException if the thread is interrupted; the remaining steps are then skipped
      */
     void run() throws InterruptedException {
-        LOG.infof("caller: stopping, %d requests are open", callers.open());
+        LOG.infof("caller: stopping, %d requests are open", callers.openRequests());
         callers.keyedCalls().stopIssuing();
         peers.leave();
         TimeUnit.NANOSECONDS.sleep(LOAD_BALANCER_DELAY.toNanos());
-        callers.refuse();
+        callers.refuseNewWork();
         // Streams continue while the keys are transferred; the order of the two does not matter to callers.
         Thread keys = Thread.ofVirtual().name("key-transfer").start(this::transferKeysToSuccessor);
-        boolean idle = await(() -> callers.open() == 0, remaining());
+        boolean idle = await(() -> callers.openRequests() == 0, remaining());
         if (!idle) {
             LOG.infof(
                     "stream: %d requests are still open at the shutdown timeout; their callers must reconnect",
-                    callers.open());
-            callers.reconnectAll();
-            await(() -> callers.open() == 0, FLUSH_TIMEOUT);
+                    callers.openRequests());
+            callers.closeStreams();
+            await(() -> callers.openRequests() == 0, FLUSH_TIMEOUT);
         }
         keys.join(Duration.ofMillis(Math.max(1, remaining().toMillis())));
         LOG.infof("caller: stopped");
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -66,8 +66,8 @@
                 .put("instance", instance)
                 .put("incarnation", peers.incarnation().toString())
                 .put("ready", reason.isEmpty())
-                .put("openRequests", callers.open())
-                .put("openGenerations", callers.generations())
+                .put("openRequests", callers.openRequests())
+                .put("openGenerations", callers.openGenerations())
                 .put("queued", dispatcher.queuedRequests())
                 .put("usedKeys", callers.keyedCalls().store().usedKeyCount());
         reason.ifPresent(text -> json.put("notReady", text));
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
@@ -177,22 +177,22 @@
     }
 
     /** Returns the number of requests that are open now. */
-    public int open() {
+    public int openRequests() {
         return openRequests.get();
     }
 
     /** Returns the number of generations that are open now. */
-    public int generations() {
+    public int openGenerations() {
         return components.runs().count();
     }
 
     /** Refuses new work from now on; calls with idempotency keys are still handled. */
-    public void refuse() {
+    public void refuseNewWork() {
         phase.set(Phase.REFUSING);
     }
 
     /** Closes the connections of open streams, so that their callers resume at another entry. */
-    public void reconnectAll() {
+    public void closeStreams() {
         components.runs().stopAll(EngineRun.StopReason.RECONNECT);
     }
 }
