--- a/core/src/main/java/org/verbenatally/policy/PolicySuite.java
+++ b/core/src/main/java/org/verbenatally/policy/PolicySuite.java
@@ -40,7 +40,10 @@
         return NAMES;
     }
 
-    /** Returns whether the named suite uses the load estimated by this entry instead of the reported one. */
+    /**
+     * Returns whether the named suite is a variant of a baseline that uses the load estimated by this entry instead of
+     * the reported one.
+     */
     public static boolean usesCorrectedLoad(String name) {
         return name.endsWith("-corrected");
     }
