--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -51,7 +51,7 @@
     void handleWork(Exchange exchange, String kindName) {
         Kind kind = kind(kindName);
         Buffer body = exchange.readBody(deployment().limits().maxBodyBytes());
-        openTrace(exchange, kind);
+        startTrace(exchange, kind);
         if (kind.runsOn() == TargetType.ENGINE) {
             generate(exchange, kind, body);
         } else if (kind.repeatable()) {
@@ -67,7 +67,7 @@
         return kind.runsOn() == TargetType.SERVICE && !kind.repeatable();
     }
 
-    private void openTrace(Exchange exchange, Kind kind) {
+    private void startTrace(Exchange exchange, Kind kind) {
         exchange.setTrace(components
                 .log()
                 .startTrace(
@@ -142,7 +142,7 @@
             throw invalidRequest("the organisation's default kind does not run on engines");
         }
         Buffer body = exchange.readBody(deployment().limits().maxBodyBytes());
-        openTrace(exchange, kind);
+        startTrace(exchange, kind);
         JsonObject json = parseObject(body);
         String model = kind.model().orElseThrow().value();
         Object requestedModel = json.getValue("model");
