--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -223,7 +223,7 @@
     }
 
     /** Returns the number of requests in flight. */
-    public int inFlight() {
+    public int inFlightRequests() {
         lock.lock();
         try {
             return inFlight;
--- a/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
+++ b/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
@@ -66,7 +66,7 @@
             }
             timer.advance(Duration.ofMillis(10));
             assertThat(dispatcher.queuedRequests()).isLessThanOrEqualTo(7);
-            assertThat(dispatcher.inFlight()).isEqualTo(inFlight.size());
+            assertThat(dispatcher.inFlightRequests()).isEqualTo(inFlight.size());
         }
         while (!inFlight.isEmpty()) {
             inFlight.poll().end(AttemptEnd.DONE);
@@ -74,7 +74,7 @@
         dispatcher.close();
         assertThat(futures).allMatch(CompletableFuture::isDone);
         assertThat(inFlight).isEmpty();
-        assertThat(dispatcher.inFlight()).isZero();
+        assertThat(dispatcher.inFlightRequests()).isZero();
         assertThat(targets.ownLoads()).isEmpty();
         futures.stream().filter(CompletableFuture::isCompletedExceptionally).forEach(f -> {
             StepException failure = (StepException) f.exceptionNow();
@@ -150,7 +150,7 @@
 
         @Operation
         public int inFlight() {
-            return dispatcher.inFlight();
+            return dispatcher.inFlightRequests();
         }
     }
 
