--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -408,7 +408,7 @@
         components
                 .metrics()
                 .errorBudget()
-                .record(request.kind().name(), request.organisation().id(), serviceResult);
+                .recordResult(request.kind().name(), request.organisation().id(), serviceResult);
     }
 
     private String streamToken(TargetId target, GenerationId generation) {
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -220,7 +220,7 @@
         components
                 .metrics()
                 .errorBudget()
-                .record(kind.name(), exchange.organisation().id(), serviceResult);
+                .recordResult(kind.name(), exchange.organisation().id(), serviceResult);
         if (result.outcome() == Outcome.DONE) {
             exchange.addTraceStep("answered by " + result.peer() + " with status " + result.status());
             exchange.succeed(result.status(), "application/json", Buffer.buffer(result.body()));
--- a/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
+++ b/entry/src/main/java/org/verbenatally/entry/operator/ErrorBudget.java
@@ -81,7 +81,7 @@
     }
 
     /** Records how a request was served. Must not be called for a request that its caller cancelled. */
-    public synchronized void record(KindName kind, OrganisationId organisation, ServiceResult result) {
+    public synchronized void recordResult(KindName kind, OrganisationId organisation, ServiceResult result) {
         kinds.computeIfAbsent(kind, k -> new RingCounter(HISTORY_MINUTES)).count(minute(), result);
         organisations
                 .computeIfAbsent(organisation, k -> new RingCounter(HISTORY_MINUTES / ORGANISATION_SLOT_MINUTES))
--- a/entry/src/test/java/org/verbenatally/entry/operator/ErrorBudgetTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/operator/ErrorBudgetTest.java
@@ -21,9 +21,9 @@
     /** Guards against missed requests that are counted after their window has passed, or not counted within it. */
     @Test
     void windowsExcludeOldRequests() {
-        record(8, ServiceResult.MET);
-        record(1, ServiceResult.LATE);
-        record(1, ServiceResult.LOST);
+        recordResults(8, ServiceResult.MET);
+        recordResults(1, ServiceResult.LATE);
+        recordResults(1, ServiceResult.LOST);
         assertThat(window(0).getDouble("burnRate")).isEqualTo(0.2 / 0.05, within(1e-9));
 
         nanos.addAndGet(TimeUnit.MINUTES.toNanos(10));
@@ -39,16 +39,16 @@
     /** Guards against a report that omits the organisations with the most missed requests. */
     @Test
     void organisationsThatMissedMostComeFirst() {
-        budget.record(GUIDE, new OrganisationId("gibe"), ServiceResult.MET);
-        record(2, ServiceResult.STALLED);
+        budget.recordResult(GUIDE, new OrganisationId("gibe"), ServiceResult.MET);
+        recordResults(2, ServiceResult.STALLED);
         JsonObject first = budget.report(0.95).getJsonArray("organisations").getJsonObject(0);
         assertThat(first.getString("organisation")).isEqualTo("tana");
         assertThat(first.getLong("stalled")).isEqualTo(2);
     }
 
-    private void record(int times, ServiceResult result) {
+    private void recordResults(int times, ServiceResult result) {
         for (int i = 0; i < times; i++) {
-            budget.record(GUIDE, TANA, result);
+            budget.recordResult(GUIDE, TANA, result);
         }
     }
 
