--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -50,7 +50,7 @@
 
     private volatile Deployment deployment;
 
-    private record PendingRequest(WorkRequest request, CompletableFuture<Flight> future) {}
+    private record PendingRequest(WorkRequest request, CompletableFuture<InFlightRequest> future) {}
 
     /** A future that is completed after the lock has been released. */
     private record Completion(PendingRequest pending, DispatchedRequest dispatched, StepException failure) {
@@ -58,7 +58,7 @@
             if (failure != null) {
                 pending.future().completeExceptionally(failure);
             } else if (!pending.future().complete(dispatched)) {
-                dispatched.end(FlightEnd.CANCELLED);
+                dispatched.end(AttemptEnd.CANCELLED);
             }
         }
     }
@@ -108,13 +108,13 @@
 
     /**
      * Acquires a target for a request. The future completes as soon as the request may be sent to the target; the
-     * caller must then end the returned flight. Cancelling the future withdraws a request that is still queued.
+     * caller must then end the returned request. Cancelling the future withdraws a request that is still queued.
      *
      * @return the request in flight; the future fails with a {@link StepException} of step {@code ADMIT} (refused,
      *     queue full, deadline) or {@code ROUTE} (no target may run the kind), with the outcome {@code NOT_RUN} and a
      *     {@code retryAfter}
      */
-    public CompletableFuture<Flight> acquire(WorkRequest request) {
+    public CompletableFuture<InFlightRequest> acquire(WorkRequest request) {
         Objects.requireNonNull(request, "request");
         PendingRequest pending = new PendingRequest(request, new CompletableFuture<>());
         Completion completion;
@@ -203,7 +203,7 @@
     }
 
     /** Returns the retry policy, which draws on the retry budgets of this dispatcher. */
-    public RetryPolicy retries() {
+    public RetryPolicy retryPolicy() {
         return retryPolicy;
     }
 
@@ -213,7 +213,7 @@
     }
 
     /** Returns the number of queued requests. */
-    public int queued() {
+    public int queuedRequests() {
         lock.lock();
         try {
             return queue.size();
@@ -223,7 +223,7 @@
     }
 
     /** Returns the number of requests in flight. */
-    public int inFlight() {
+    public int inFlightRequests() {
         lock.lock();
         try {
             return inFlight;
@@ -239,10 +239,10 @@
 
     private boolean isOverloaded() {
         Deployment current = deployment;
-        return current != null && queued() > current.limits().maxQueued() / 2;
+        return current != null && queuedRequests() > current.limits().maxQueued() / 2;
     }
 
-    private void onEnded(DispatchedRequest dispatched, FlightEnd end) {
+    private void onEnded(DispatchedRequest dispatched, AttemptEnd end) {
         TargetState state = dispatched.state();
         WorkRequest request = dispatched.request();
         OrganisationId organisation = request.organisation().id();
@@ -253,15 +253,15 @@
             suspects.crashed(state.target().id(), fingerprints, fingerprints.size() == 1 && state.peerRequests() == 0);
         }
         suspects.release(request.fingerprint(), state.target().id());
-        if (end == FlightEnd.DONE) {
+        if (end == AttemptEnd.DONE) {
             suspects.cleared(request.fingerprint());
             retryPolicy.recordSuccess(organisation, state.target().id());
             if (request.kind().runsOn() == TargetType.ENGINE) {
                 lengthModel.observe(request.kind(), organisation, dispatched.outputTokens());
             }
-        } else if (end == FlightEnd.REFUSED) {
+        } else if (end == AttemptEnd.REFUSED) {
             state.onRefused(timer.nanos());
-        } else if (end == FlightEnd.UNREACHABLE || end == FlightEnd.CRASHED) {
+        } else if (end == AttemptEnd.UNREACHABLE || end == AttemptEnd.CRASHED) {
             state.onUnreachable(timer.nanos());
         }
         lock.lock();
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -19,11 +19,11 @@
 import org.verbenatally.core.StepException;
 import org.verbenatally.core.TargetId;
 import org.verbenatally.entry.operator.EntryMetrics;
-import org.verbenatally.entry.operator.Service;
+import org.verbenatally.entry.operator.ServiceResult;
 import org.verbenatally.entry.target.EngineStream;
 import org.verbenatally.entry.target.TokenFeed;
-import org.verbenatally.policy.Flight;
-import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.AttemptEnd;
+import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.RetryInput;
 import org.verbenatally.policy.SuspectTable;
 import org.verbenatally.policy.WorkRequest;
@@ -50,7 +50,7 @@
     private final TokenLatency tokenLatency;
     private StopReason stopReason;
     private EngineStream stream;
-    private CompletableFuture<Flight> acquisition;
+    private CompletableFuture<InFlightRequest> acquisition;
     private boolean mayHaveRun;
     private long deadlineTimer = -1;
     private long earlyHeadTimer = -1;
@@ -77,13 +77,13 @@
      * @param mayHaveRun whether the engine may have started the generation
      * @param last whether no further attempt may follow
      */
-    private record Attempt(FlightEnd end, Optional<Problem> problem, boolean mayHaveRun, boolean last) {
+    private record Attempt(AttemptEnd end, Optional<Problem> problem, boolean mayHaveRun, boolean last) {
         static Attempt done() {
-            return new Attempt(FlightEnd.DONE, Optional.empty(), true, true);
+            return new Attempt(AttemptEnd.DONE, Optional.empty(), true, true);
         }
 
         static Attempt stopped() {
-            return new Attempt(FlightEnd.CANCELLED, Optional.empty(), true, true);
+            return new Attempt(AttemptEnd.CANCELLED, Optional.empty(), true, true);
         }
     }
 
@@ -100,7 +100,7 @@
         this.response = Objects.requireNonNull(response, "response");
         this.request = Objects.requireNonNull(request, "request");
         EntryMetrics.TokenMeters meters =
-                components.metrics().tokens(request.kind().name());
+                components.metrics().tokenMeters(request.kind().name());
         this.tokenLatency = new TokenLatency(
                 meters, request.startNanos(), components.config().deployment());
     }
@@ -143,7 +143,7 @@
     }
 
     private void onCallerDisconnect() {
-        exchange.note("the caller disconnected");
+        exchange.addTraceStep("the caller disconnected");
         if (response.isResumable()) {
             vertx.setTimer(RESUME_TIMEOUT.toMillis(), id -> stop(StopReason.ABANDONED));
         } else {
@@ -154,7 +154,7 @@
     /** Ends the run. Only the first call has an effect. */
     void stop(StopReason reason) {
         EngineStream openStream;
-        CompletableFuture<Flight> pending;
+        CompletableFuture<InFlightRequest> pending;
         synchronized (this) {
             if (stopReason != null) {
                 return;
@@ -180,12 +180,12 @@
         int attempts = 0;
         while (true) {
             attempts++;
-            Optional<Flight> inFlight = acquire(exclude);
+            Optional<InFlightRequest> inFlight = acquire(exclude);
             if (inFlight.isEmpty()) {
                 return;
             }
             TargetId target = inFlight.get().target();
-            exchange.note("attempt " + attempts + " on " + target);
+            exchange.addTraceStep("attempt " + attempts + " on " + target);
             Attempt attempt = runAttempt(inFlight.get());
             inFlight.get().end(attempt.end());
             if (attempt.problem().isEmpty()) {
@@ -193,13 +193,13 @@
             }
             Optional<Duration> delay = attempt.last() || stopReason().isPresent()
                     ? Optional.empty()
-                    : components.dispatcher().retries().decide(retryInput(target, attempt, attempts));
+                    : components.dispatcher().retryPolicy().decide(retryInput(target, attempt, attempts));
             if (delay.isEmpty()) {
                 fail(attempt.problem().get());
                 return;
             }
-            exchange.note("retry: " + attempt.problem().get().detail());
-            components.metrics().retried(request.kind().name());
+            exchange.addTraceStep("retry: " + attempt.problem().get().detail());
+            components.metrics().countRetry(request.kind().name());
             pause(delay.get());
             exclude.add(target);
             if (exclude.size() >= components.targetCount(request.kind())) {
@@ -223,12 +223,12 @@
                         Math.max(0, request.deadlineNanos() - components.timer().nanos())));
     }
 
-    private Optional<Flight> acquire(Set<TargetId> exclude) {
+    private Optional<InFlightRequest> acquire(Set<TargetId> exclude) {
         if (components.suspects().check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
             fail(RunProblems.quarantined());
             return Optional.empty();
         }
-        CompletableFuture<Flight> future = components
+        CompletableFuture<InFlightRequest> future = components
                 .dispatcher()
                 .acquire(new WorkRequest(
                         request.kind(),
@@ -245,8 +245,9 @@
             future.cancel(false);
         }
         try {
-            Flight inFlight = Future.fromCompletionStage(future, context).await();
-            exchange.note("routed");
+            InFlightRequest inFlight =
+                    Future.fromCompletionStage(future, context).await();
+            exchange.addTraceStep("routed");
             return Optional.of(inFlight);
         } catch (StepException e) {
             fail(Problem.of(e));
@@ -263,11 +264,11 @@
         }
     }
 
-    private Attempt runAttempt(Flight inFlight) {
+    private Attempt runAttempt(InFlightRequest inFlight) {
         Optional<Target> target = components.target(inFlight.target());
         if (target.isEmpty()) {
             return new Attempt(
-                    FlightEnd.REFUSED,
+                    AttemptEnd.REFUSED,
                     Optional.of(RunProblems.notRun(inFlight.target(), "the target was removed")),
                     false,
                     false);
@@ -320,21 +321,21 @@
         return opened;
     }
 
-    private Attempt deliver(EngineStream opened, Optional<Flight> inFlight) {
+    private Attempt deliver(EngineStream opened, Optional<InFlightRequest> inFlight) {
         try {
             while (true) {
                 switch (opened.next()) {
                     case TokenFeed.Token token -> {
-                        inFlight.ifPresent(Flight::token);
+                        inFlight.ifPresent(InFlightRequest::recordToken);
                         tokenLatency.recordToken();
                         response.onToken(token.offset(), token.text());
                     }
                     case TokenFeed.End end -> {
-                        components.metrics().preempted(request.kind().name(), end.preemptions());
+                        components.metrics().countPreemptions(request.kind().name(), end.preemptions());
                         response.onEnd(end.tokens());
-                        exchange.note("done after " + end.tokens() + " tokens");
-                        components.metrics().answered(request.kind().name(), Outcome.DONE);
-                        recordService(tokenLatency.service());
+                        exchange.addTraceStep("done after " + end.tokens() + " tokens");
+                        components.metrics().countOutcome(request.kind().name(), Outcome.DONE);
+                        recordServiceResult(tokenLatency.serviceResult());
                         return Attempt.done();
                     }
                     case TokenFeed.Disconnected disconnected -> throw new IllegalStateException(disconnected.message());
@@ -344,13 +345,13 @@
             return onGenerationLost(opened, e);
         } finally {
             components.runs().detach(opened.generation(), this);
-            components.metrics().resumed(request.kind().name(), opened.resumeCount());
+            components.metrics().countResumes(request.kind().name(), opened.resumeCount());
         }
     }
 
     private Attempt onGenerationLost(EngineStream opened, EngineStream.GenerationLostException e) {
         TargetId target = opened.target().id();
-        exchange.note("generation ended on " + target + ": " + e.getMessage());
+        exchange.addTraceStep("generation ended on " + target + ": " + e.getMessage());
         Optional<StopReason> reason = stopReason();
         if (reason.isPresent()) {
             return endStopped(opened, reason.get());
@@ -361,13 +362,13 @@
                 yield Attempt.stopped();
             }
             case CRASHED ->
-                new Attempt(FlightEnd.CRASHED, Optional.of(generationLost(target, e.getMessage())), true, false);
+                new Attempt(AttemptEnd.CRASHED, Optional.of(generationLost(target, e.getMessage())), true, false);
             case INVALID -> {
                 opened.cancel();
-                yield new Attempt(FlightEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
+                yield new Attempt(AttemptEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
             }
             case LOST ->
-                new Attempt(FlightEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
+                new Attempt(AttemptEnd.FAILED, Optional.of(generationLost(target, e.getMessage())), true, false);
         };
     }
 
@@ -377,7 +378,7 @@
             case ABANDONED, CANCELLED, DEADLINE -> opened.cancel();
             default -> throw new IllegalStateException("unknown reason " + reason);
         }
-        return new Attempt(FlightEnd.CANCELLED, stopProblem(), true, true);
+        return new Attempt(AttemptEnd.CANCELLED, stopProblem(), true, true);
     }
 
     private Optional<Problem> stopProblem() {
@@ -392,22 +393,22 @@
     private void fail(Problem original) {
         Problem problem =
                 mayHaveRun && original.outcome() == Outcome.NOT_RUN ? original.withOutcome(Outcome.UNKNOWN) : original;
-        components.metrics().answered(request.kind().name(), problem.outcome());
-        components.metrics().failed(problem.step());
+        components.metrics().countOutcome(request.kind().name(), problem.outcome());
+        components.metrics().countFailure(problem.step());
         boolean endedByCaller = stopReason()
                 .filter(reason -> reason == StopReason.ABANDONED || reason == StopReason.CANCELLED)
                 .isPresent();
         if (!endedByCaller) {
-            recordService(problem.outcome() == Outcome.NOT_RUN ? Service.REFUSED : Service.LOST);
+            recordServiceResult(problem.outcome() == Outcome.NOT_RUN ? ServiceResult.REFUSED : ServiceResult.LOST);
         }
         response.fail(problem);
     }
 
-    private void recordService(Service service) {
+    private void recordServiceResult(ServiceResult serviceResult) {
         components
                 .metrics()
-                .budget()
-                .count(request.kind().name(), request.organisation().id(), service);
+                .errorBudget()
+                .recordResult(request.kind().name(), request.organisation().id(), serviceResult);
     }
 
     private String streamToken(TargetId target, GenerationId generation) {
--- a/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
+++ b/tools/src/main/java/org/verbenatally/load/PolicyTrial.java
@@ -24,10 +24,10 @@
 import org.verbenatally.core.ModelName;
 import org.verbenatally.core.OrganisationId;
 import org.verbenatally.core.TargetId;
+import org.verbenatally.policy.AttemptEnd;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.Flight;
-import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.PolicySuite;
 import org.verbenatally.policy.ReportedLoad;
 import org.verbenatally.policy.SuspectTable;
@@ -100,13 +100,13 @@
             ActiveGeneration active = running.get(generation);
             if (simulation.generatedTokens(generation) > active.tokens) {
                 active.tokens++;
-                active.inFlight.token();
+                active.inFlight.recordToken();
                 metrics.onToken(active.trialRequest);
             }
             if (generation.isDone()) {
                 running.remove(generation);
                 metrics.onDone(active.trialRequest, active.tokens);
-                active.inFlight.end(FlightEnd.DONE);
+                active.inFlight.end(AttemptEnd.DONE);
             }
         }
 
@@ -133,10 +133,10 @@
 
     private static final class ActiveGeneration {
         final TrialMetrics.Request trialRequest;
-        final Flight inFlight;
+        final InFlightRequest inFlight;
         int tokens;
 
-        ActiveGeneration(TrialMetrics.Request trialRequest, Flight inFlight) {
+        ActiveGeneration(TrialMetrics.Request trialRequest, InFlightRequest inFlight) {
             this.trialRequest = trialRequest;
             this.inFlight = inFlight;
         }
@@ -233,7 +233,7 @@
             time.schedule(i * 61 * NANOS_PER_MS, () -> {
                 time.every(
                         POLL_PERIOD,
-                        tick -> engines.values().forEach(e -> entry.table().report(e.id, e.report())));
+                        tick -> engines.values().forEach(e -> entry.table().recordReport(e.id, e.report())));
                 time.every(GOSSIP_PERIOD, tick -> gossip(entry));
             });
         }
@@ -247,7 +247,7 @@
 
     private void gossip(Entry from) {
         var loads = from.table().ownLoads();
-        entries.stream().filter(e -> e != from).forEach(e -> e.table().peerLoads(from.id(), loads));
+        entries.stream().filter(e -> e != from).forEach(e -> e.table().setPeerLoads(from.id(), loads));
     }
 
     private void scheduleArrival() {
@@ -295,7 +295,11 @@
     }
 
     private void send(
-            TrialMetrics.Request trialRequest, Flight inFlight, KindLoad load, int length, long requestNumber) {
+            TrialMetrics.Request trialRequest,
+            InFlightRequest inFlight,
+            KindLoad load,
+            int length,
+            long requestNumber) {
         Engine engine = engines.get(inFlight.target());
         String marker = "[len=" + length + "] " + requestNumber + " ";
         String prompt = marker + "x".repeat(Math.max(0, 4 * workload.prefixTokens(load) - marker.length()));
