--- a/core/src/main/java/org/verbenatally/policy/BudgetedRetryPolicy.java
+++ b/core/src/main/java/org/verbenatally/policy/BudgetedRetryPolicy.java
@@ -61,13 +61,13 @@
     }
 
     private static boolean isRetryable(RetryInput input) {
-        if (input.end() == FlightEnd.DONE || input.end() == FlightEnd.CANCELLED || input.delivered()) {
+        if (input.end() == AttemptEnd.DONE || input.end() == AttemptEnd.CANCELLED || input.delivered()) {
             return false;
         }
         if (input.attempts() >= input.kind().maxAttempts() || input.suspect() && input.attempts() > 1) {
             return false;
         }
-        return input.kind().repeatable() || !input.mayHaveReachedTarget();
+        return input.kind().repeatable() || !input.mayHaveRun();
     }
 
     /** Counts a success, which earns a part of a later retry. */
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -66,10 +66,10 @@
                 .put("instance", instance)
                 .put("incarnation", peers.incarnation().toString())
                 .put("ready", reason.isEmpty())
-                .put("openRequests", callers.open())
-                .put("openGenerations", callers.generations())
-                .put("queued", dispatcher.queued())
-                .put("usedKeys", callers.keyedCalls().store().used());
+                .put("openRequests", callers.openRequests())
+                .put("openGenerations", callers.openGenerations())
+                .put("queued", dispatcher.queuedRequests())
+                .put("usedKeys", callers.keyedCalls().store().usedKeyCount());
         reason.ifPresent(text -> json.put("notReady", text));
         config.document()
                 .ifPresent(document -> json.put(
@@ -92,7 +92,7 @@
     private JsonArray targets() {
         Map<String, TargetLoad> loads =
                 targets.ownLoads().stream().collect(Collectors.toMap(TargetLoad::getTarget, Function.identity()));
-        Set<TargetId> leaving = targets.leaving();
+        Set<TargetId> leaving = targets.leavingTargets();
         JsonArray array = new JsonArray();
         config.deployment()
                 .ifPresent(deployment -> deployment.targets().values().stream()
@@ -120,7 +120,7 @@
 
     /** Returns the consumption of the error budget, by kind and by organisation. */
     JsonObject errorBudget() {
-        return metrics.budget()
+        return metrics.errorBudget()
                 .report(config.deployment().map(d -> d.levels().objective()).orElse(DEFAULT_OBJECTIVE))
                 .put("instance", instance);
     }
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerServer.java
@@ -17,8 +17,8 @@
 import io.vertx.core.http.HttpServerOptions;
 import org.verbenatally.config.ConfigHolder;
 import org.verbenatally.config.Deployment;
-import org.verbenatally.entry.key.CallRunner;
 import org.verbenatally.entry.key.KeyIssuer;
+import org.verbenatally.entry.key.KeyedCallRunner;
 import org.verbenatally.entry.key.KeyedCalls;
 import org.verbenatally.entry.operator.EntryMetrics;
 import org.verbenatally.entry.operator.RequestLog;
@@ -101,12 +101,13 @@
                 log,
                 new OrganisationLimits(),
                 new LiveRuns());
-        CallRunner runner = new ServiceCalls(components, context);
+        KeyedCallRunner runner = new ServiceCalls(components, context);
         this.keyedCalls = new KeyedCalls(issuer, runner, peers, timer);
-        metrics.gauge("verbenatally.open.requests", openRequests::get);
-        metrics.gauge("verbenatally.open.generations", () -> components.runs().count());
-        metrics.gauge("verbenatally.used.keys", () -> keyedCalls.store().used());
-        metrics.gauge("verbenatally.connections", idleConnections::count);
+        metrics.registerGauge("verbenatally.open.requests", openRequests::get);
+        metrics.registerGauge(
+                "verbenatally.open.generations", () -> components.runs().count());
+        metrics.registerGauge("verbenatally.used.keys", () -> keyedCalls.store().usedKeyCount());
+        metrics.registerGauge("verbenatally.connections", idleConnections::count);
         timer.every(Duration.ofSeconds(5), tick -> idleConnections.closeIdle());
         timer.every(
                 Duration.ofMinutes(1),
@@ -176,22 +177,22 @@
     }
 
     /** Returns the number of requests that are open now. */
-    public int open() {
+    public int openRequests() {
         return openRequests.get();
     }
 
     /** Returns the number of generations that are open now. */
-    public int generations() {
+    public int openGenerations() {
         return components.runs().count();
     }
 
     /** Refuses new work from now on; calls with idempotency keys are still handled. */
-    public void refuse() {
+    public void refuseNewWork() {
         phase.set(Phase.REFUSING);
     }
 
     /** Closes the connections of open streams, so that their callers resume at another entry. */
-    public void reconnectAll() {
+    public void closeStreams() {
         components.runs().stopAll(EngineRun.StopReason.RECONNECT);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/WorkHandler.java
@@ -19,9 +19,9 @@
 import org.verbenatally.core.Outcome;
 import org.verbenatally.core.Step;
 import org.verbenatally.entry.key.CallResult;
-import org.verbenatally.entry.key.CallRunner;
+import org.verbenatally.entry.key.KeyedCallRunner;
 import org.verbenatally.entry.key.KeyedCalls;
-import org.verbenatally.entry.operator.Service;
+import org.verbenatally.entry.operator.ServiceResult;
 import org.verbenatally.policy.Fingerprint;
 
 /** Handles work, completion and key requests. */
@@ -51,7 +51,7 @@
     void handleWork(Exchange exchange, String kindName) {
         Kind kind = kind(kindName);
         Buffer body = exchange.readBody(deployment().limits().maxBodyBytes());
-        openTrace(exchange, kind);
+        startTrace(exchange, kind);
         if (kind.runsOn() == TargetType.ENGINE) {
             generate(exchange, kind, body);
         } else if (kind.repeatable()) {
@@ -67,14 +67,14 @@
         return kind.runsOn() == TargetType.SERVICE && !kind.repeatable();
     }
 
-    private void openTrace(Exchange exchange, Kind kind) {
+    private void startTrace(Exchange exchange, Kind kind) {
         exchange.setTrace(components
                 .log()
-                .open(
+                .startTrace(
                         exchange.id(),
                         exchange.organisation().id().value(),
                         kind.name().value()));
-        exchange.note("accepted");
+        exchange.addTraceStep("accepted");
     }
 
     private Deployment deployment() {
@@ -142,7 +142,7 @@
             throw invalidRequest("the organisation's default kind does not run on engines");
         }
         Buffer body = exchange.readBody(deployment().limits().maxBodyBytes());
-        openTrace(exchange, kind);
+        startTrace(exchange, kind);
         JsonObject json = parseObject(body);
         String model = kind.model().orElseThrow().value();
         Object requestedModel = json.getValue("model");
@@ -187,7 +187,7 @@
         }
         parseObject(body);
         CallResult result = Future.fromCompletionStage(
-                        keyedCalls.call(new CallRunner.Call(
+                        keyedCalls.call(new KeyedCallRunner.KeyedCall(
                                 exchange.id(),
                                 exchange.organisation().id(),
                                 kind.name(),
@@ -210,16 +210,19 @@
     }
 
     private void respond(Exchange exchange, Kind kind, CallResult result) {
-        components.metrics().answered(kind.name(), result.outcome());
-        Service service =
+        components.metrics().countOutcome(kind.name(), result.outcome());
+        ServiceResult serviceResult =
                 switch (result.outcome()) {
-                    case DONE -> Service.MET;
-                    case NOT_RUN -> Service.REFUSED;
-                    case UNKNOWN -> Service.LOST;
+                    case DONE -> ServiceResult.MET;
+                    case NOT_RUN -> ServiceResult.REFUSED;
+                    case UNKNOWN -> ServiceResult.LOST;
                 };
-        components.metrics().budget().count(kind.name(), exchange.organisation().id(), service);
+        components
+                .metrics()
+                .errorBudget()
+                .recordResult(kind.name(), exchange.organisation().id(), serviceResult);
         if (result.outcome() == Outcome.DONE) {
-            exchange.note("answered by " + result.peer() + " with status " + result.status());
+            exchange.addTraceStep("answered by " + result.peer() + " with status " + result.status());
             exchange.succeed(result.status(), "application/json", Buffer.buffer(result.body()));
             return;
         }
--- a/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
+++ b/entry/src/main/java/org/verbenatally/entry/key/KeyStore.java
@@ -127,7 +127,7 @@
     }
 
     /** Returns the number of used keys that this incarnation issued. */
-    int ownUsedKeys() {
+    int ownUsedKeyCount() {
         return own.size();
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** Returns the number of used keys held here, including those of adopted tables. */
-    public int used() {
+    public int usedKeyCount() {
         lock.readLock().lock();
         try {
             return own.size()
@@ -333,7 +333,7 @@
             outcome = Outcome.UNKNOWN;
         }
         return outcome == Outcome.DONE
-                ? CallResult.done(entry.getStatus(), entry.getBody(), "")
+                ? CallResult.completed(entry.getStatus(), entry.getBody(), "")
                 : CallResult.failed(outcome, Step.SEND, "", "result adopted from an instance that has left");
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyedCallsTest.java
@@ -63,7 +63,7 @@
         a.runner = call ->
                 CompletableFuture.completedFuture(CallResult.failed(Outcome.NOT_RUN, Step.ADMIT, "a", "overloaded"));
         assertThat(b.outcome(key)).isEqualTo(Outcome.NOT_RUN);
-        a.runner = call -> CompletableFuture.completedFuture(CallResult.done(200, new byte[0], "s"));
+        a.runner = call -> CompletableFuture.completedFuture(CallResult.completed(200, new byte[0], "s"));
 
         assertThat(a.outcome(key)).isEqualTo(Outcome.NOT_RUN);
     }
@@ -95,13 +95,13 @@
         assertThat(a.outcome(forged)).isEqualTo(Outcome.NOT_RUN);
         assertThat(a.outcome("no key")).isEqualTo(Outcome.NOT_RUN);
         assertThat(a.calls
-                        .call(new CallRunner.Call(
+                        .call(new KeyedCallRunner.KeyedCall(
                                 "r", new OrganisationId("gibe"), KeyFleet.KIND, key, deadline, new byte[0]))
                         .join()
                         .outcome())
                 .isEqualTo(Outcome.NOT_RUN);
         assertThat(a.calls
-                        .call(new CallRunner.Call(
+                        .call(new KeyedCallRunner.KeyedCall(
                                 "r", KeyFleet.ORGANISATION, new KindName("other"), key, deadline, new byte[0]))
                         .join()
                         .outcome())
@@ -116,7 +116,7 @@
         a.call(key).join();
 
         CallResult result = a.calls
-                .call(new CallRunner.Call(
+                .call(new KeyedCallRunner.KeyedCall(
                         "r",
                         KeyFleet.ORGANISATION,
                         KeyFleet.KIND,
--- a/tools/src/main/java/org/verbenatally/load/DecisionBench.java
+++ b/tools/src/main/java/org/verbenatally/load/DecisionBench.java
@@ -25,10 +25,10 @@
 import org.verbenatally.core.ModelName;
 import org.verbenatally.core.OrganisationId;
 import org.verbenatally.core.TargetId;
+import org.verbenatally.policy.AttemptEnd;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.Fingerprint;
-import org.verbenatally.policy.Flight;
-import org.verbenatally.policy.FlightEnd;
+import org.verbenatally.policy.InFlightRequest;
 import org.verbenatally.policy.PolicySuite;
 import org.verbenatally.policy.ReportedLoad;
 import org.verbenatally.policy.SuspectTable;
@@ -98,9 +98,9 @@
         }
         for (int round = 0; round < 4; round++) {
             time.runUntil(time.nanos() + 500_000_000);
-            table.peerLoads(new InstanceId("peer"), loads);
+            table.setPeerLoads(new InstanceId("peer"), loads);
             for (TargetId id : deployment.targets().keySet()) {
-                table.report(
+                table.recordReport(
                         id,
                         new ReportedLoad(
                                 new Incarnation(1), time.epochMillis(), 8, 0, 8_000, 40_960, 0, Set.of(MODEL), false));
@@ -112,7 +112,7 @@
         List<Organisation> organisations =
                 List.copyOf(deployment.organisations().values());
         Kind kind = deployment.kinds().values().iterator().next();
-        Flight[] inFlight = new Flight[OPEN_REQUESTS];
+        InFlightRequest[] inFlight = new InFlightRequest[OPEN_REQUESTS];
         long start = 0;
         // The first half warms up the JIT compiler and fills the slots of open requests.
         for (int i = 0; i < 2 * decisions; i++) {
@@ -121,8 +121,8 @@
             }
             int slot = i % OPEN_REQUESTS;
             if (inFlight[slot] != null) {
-                inFlight[slot].token();
-                inFlight[slot].end(FlightEnd.DONE);
+                inFlight[slot].recordToken();
+                inFlight[slot].end(AttemptEnd.DONE);
             }
             Organisation organisation = organisations.get(i % organisations.size());
             long deadline = time.nanos() + 60_000_000_000L;
