--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -133,7 +133,7 @@
     /** Decides on a new request; returns {@code null} if it is queued. */
     private Completion decide(PendingRequest pending) {
         WorkRequest request = pending.request();
-        if (suspects.check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
+        if (suspects.verdict(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
             return refuse(pending, Step.ADMIT, "the request crashes targets", RETRY_AFTER);
         }
         if (!targets.hasEligibleTarget(request.kind())) {
@@ -250,11 +250,12 @@
         if (!affected.isEmpty()) {
             List<Fingerprint> fingerprints =
                     affected.stream().map(d -> d.request().fingerprint()).toList();
-            suspects.crashed(state.target().id(), fingerprints, fingerprints.size() == 1 && state.peerRequests() == 0);
+            suspects.recordCrash(
+                    state.target().id(), fingerprints, fingerprints.size() == 1 && state.peerRequests() == 0);
         }
         suspects.release(request.fingerprint(), state.target().id());
         if (end == AttemptEnd.DONE) {
-            suspects.cleared(request.fingerprint());
+            suspects.clearSuspicion(request.fingerprint());
             retryPolicy.recordSuccess(organisation, state.target().id());
             if (request.kind().runsOn() == TargetType.ENGINE) {
                 lengthModel.observe(request.kind(), organisation, dispatched.outputTokens());
@@ -307,7 +308,7 @@
 
     private boolean tryDispatch(PendingRequest pending, List<Completion> completions) {
         WorkRequest request = pending.request();
-        if (suspects.check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
+        if (suspects.verdict(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
             completions.add(refuse(pending, Step.ADMIT, "the request crashes targets", RETRY_AFTER));
             return true;
         }
--- a/core/src/main/java/org/verbenatally/policy/Router.java
+++ b/core/src/main/java/org/verbenatally/policy/Router.java
@@ -86,7 +86,7 @@
      */
     Optional<TargetState> choose(WorkRequest request) {
         long now = timer.nanos();
-        boolean suspect = suspects.check(request.fingerprint()) == SuspectTable.Verdict.ISOLATE;
+        boolean suspect = suspects.verdict(request.fingerprint()) == SuspectTable.Verdict.ISOLATE;
         Predicate<TargetState> filter = state -> state.isEligibleFor(request.kind())
                 && !state.isInBackoff(now)
                 && !request.excludedTargets().contains(state.target().id())
--- a/core/src/main/java/org/verbenatally/policy/SuspectTable.java
+++ b/core/src/main/java/org/verbenatally/policy/SuspectTable.java
@@ -68,8 +68,8 @@
      * Counts a crash of a target against every request that was running there. Must be called once per crash, with all
      * requests of this entry.
      */
-    public void crashed(TargetId target, Collection<Fingerprint> running) {
-        crashed(target, running, running.size() == 1);
+    public void recordCrash(TargetId target, Collection<Fingerprint> running) {
+        recordCrash(target, running, running.size() == 1);
     }
 
     /**
@@ -79,7 +79,7 @@
      * @param running requests of this entry that were running there
      * @param alone whether the given request was the only one on the target, requests of peers included
      */
-    public synchronized void crashed(TargetId target, Collection<Fingerprint> running, boolean alone) {
+    public synchronized void recordCrash(TargetId target, Collection<Fingerprint> running, boolean alone) {
         Objects.requireNonNull(target, "target");
         Set<Fingerprint> distinct = Set.copyOf(running);
         long suspectCount = distinct.stream().filter(this::isSuspect).count();
@@ -103,7 +103,7 @@
     }
 
     /** Returns how a request must be treated. */
-    public synchronized Verdict check(Fingerprint fingerprint) {
+    public synchronized Verdict verdict(Fingerprint fingerprint) {
         CrashRecord crashRecord = records.get(fingerprint);
         if (crashRecord == null) {
             return Verdict.CLEAR;
@@ -115,8 +115,8 @@
         return crashRecord.verdict();
     }
 
-    /** Clears a request that completed, unless it is already quarantined. */
-    public synchronized void cleared(Fingerprint fingerprint) {
+    /** Clears the suspicion against a request that completed, unless the request is already quarantined. */
+    public synchronized void clearSuspicion(Fingerprint fingerprint) {
         CrashRecord crashRecord = records.get(fingerprint);
         if (crashRecord != null && crashRecord.verdict() == Verdict.ISOLATE) {
             crashRecord.crashesCleared = crashRecord.crashes;
@@ -144,7 +144,7 @@
     }
 
     /** Merges the records of a peer; the larger counts win. Invalid records are ignored. */
-    public synchronized void merge(InstanceId from, List<Suspect> suspects) {
+    public synchronized void mergePeerSuspects(InstanceId from, List<Suspect> suspects) {
         Map<TargetId, Fingerprint> running = new HashMap<>();
         long now = timer.nanos();
         for (Suspect suspect : suspects) {
@@ -172,8 +172,8 @@
         evict();
     }
 
-    /** Discards what a peer runs, after the peer is gone. */
-    public synchronized void forgetPeer(InstanceId peer) {
+    /** Removes the running suspects of a peer that is gone. The crashes that it reported are kept. */
+    public synchronized void removePeer(InstanceId peer) {
         runningAtPeers.remove(peer);
     }
 
--- a/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
+++ b/core/src/test/java/org/verbenatally/policy/DispatcherTest.java
@@ -129,9 +129,9 @@
         Dispatcher dispatcher = dispatcher("headroom", 3, 8, 10);
         WorkRequest poison = Fixtures.request(GUIDE, Fixtures.organisation("tana", 1), 99, DEADLINE);
         dispatcher.acquire(poison).join().end(AttemptEnd.CRASHED);
-        assertThat(suspects.check(poison.fingerprint())).isEqualTo(SuspectTable.Verdict.ISOLATE);
+        assertThat(suspects.verdict(poison.fingerprint())).isEqualTo(SuspectTable.Verdict.ISOLATE);
         dispatcher.acquire(poison).join().end(AttemptEnd.CRASHED);
-        assertThat(suspects.check(poison.fingerprint())).isEqualTo(SuspectTable.Verdict.QUARANTINED);
+        assertThat(suspects.verdict(poison.fingerprint())).isEqualTo(SuspectTable.Verdict.QUARANTINED);
         assertThat(dispatcher.acquire(poison)).isCompletedExceptionally();
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
+++ b/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
@@ -73,12 +73,12 @@
 
     @Override
     public void onSuspects(InstanceId from, List<Suspect> reported) {
-        suspects.merge(from, reported);
+        suspects.mergePeerSuspects(from, reported);
     }
 
     @Override
     public void onGone(InstanceId peer) {
         targets.removePeer(peer);
-        suspects.forgetPeer(peer);
+        suspects.removePeer(peer);
     }
 }
--- a/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/EngineRun.java
@@ -209,7 +209,7 @@
     }
 
     private RetryInput retryInput(TargetId target, Attempt attempt, int attempts) {
-        boolean suspect = components.suspects().check(request.fingerprint()) != SuspectTable.Verdict.CLEAR;
+        boolean suspect = components.suspects().verdict(request.fingerprint()) != SuspectTable.Verdict.CLEAR;
         return new RetryInput(
                 request.kind(),
                 request.organisation().id(),
@@ -224,7 +224,7 @@
     }
 
     private Optional<InFlightRequest> acquire(Set<TargetId> exclude) {
-        if (components.suspects().check(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
+        if (components.suspects().verdict(request.fingerprint()) == SuspectTable.Verdict.QUARANTINED) {
             fail(RunProblems.quarantined());
             return Optional.empty();
         }
--- a/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/ServiceCalls.java
@@ -136,7 +136,7 @@
 
     /** Returns the delay before the next attempt; empty if the call must not be retried. */
     Optional<Duration> retryDelay(Call call, Attempt attempt, int attempts) {
-        boolean suspect = components.suspects().check(call.fingerprint()) != SuspectTable.Verdict.CLEAR;
+        boolean suspect = components.suspects().verdict(call.fingerprint()) != SuspectTable.Verdict.CLEAR;
         return components
                 .dispatcher()
                 .retryPolicy()
--- a/forward/src/main/java/org/verbenatally/forward/CrashDetector.java
+++ b/forward/src/main/java/org/verbenatally/forward/CrashDetector.java
@@ -53,7 +53,7 @@
 
     /** Returns whether a request is known to crash any target that runs it. */
     boolean isQuarantined(Fingerprint fingerprint) {
-        return suspects.check(fingerprint) == SuspectTable.Verdict.QUARANTINED && !hasRecentResponse(fingerprint);
+        return suspects.verdict(fingerprint) == SuspectTable.Verdict.QUARANTINED && !hasRecentResponse(fingerprint);
     }
 
     private synchronized boolean hasRecentResponse(Fingerprint fingerprint) {
@@ -65,7 +65,7 @@
     synchronized void onResponse(ForwardedRequest request) {
         lastResponses.remove(request.fingerprint());
         lastResponses.put(request.fingerprint(), timer.nanos());
-        suspects.cleared(request.fingerprint());
+        suspects.clearSuspicion(request.fingerprint());
     }
 
     /**
@@ -91,7 +91,7 @@
         List<InFlightRequest> suspected = running.stream()
                 .filter(inFlight -> !hasRecentResponse(inFlight.fingerprint()))
                 .toList();
-        suspects.crashed(
+        suspects.recordCrash(
                 target.id(),
                 suspected.stream().map(InFlightRequest::fingerprint).toList(),
                 alone);
@@ -99,7 +99,7 @@
                 .request(inFlight.requestId())
                 .with("target", target.id())
                 .with("alone", alone)
-                .with("verdict", suspects.check(inFlight.fingerprint()))
+                .with("verdict", suspects.verdict(inFlight.fingerprint()))
                 .with("reason", reason.getMessage())
                 .info(LOG));
     }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
@@ -102,12 +102,12 @@
 
     @Override
     public void onSuspects(InstanceId from, List<Suspect> records) {
-        suspects.merge(from, records);
+        suspects.mergePeerSuspects(from, records);
     }
 
     @Override
     public void onGone(InstanceId peer) {
         directory.forgetPeer(peer);
-        suspects.forgetPeer(peer);
+        suspects.removePeer(peer);
     }
 }
