--- a/core/src/main/java/org/verbenatally/peer/PeerOptions.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerOptions.java
@@ -12,7 +12,7 @@
 import org.verbenatally.settings.TlsSettings;
 
 /**
- * Options of {@link Peers}.
+ * Options of {@link TcpPeerNetwork}.
  *
  * @param instance id of this instance
  * @param failureDomain failure domain of this instance
--- a/core/src/main/java/org/verbenatally/peer/Peers.java
+++ b/core/src/main/java/org/verbenatally/peer/TcpPeerNetwork.java
@@ -48,8 +48,8 @@
  *
  * @param <D> the kind of deployment document that the peers pass on
  */
-public final class Peers<D extends VersionedDeployment> implements PeerNetwork {
-    private static final Logger LOG = Logger.getLogger(Peers.class);
+public final class TcpPeerNetwork<D extends VersionedDeployment> implements PeerNetwork {
+    private static final Logger LOG = Logger.getLogger(TcpPeerNetwork.class);
 
     /**
      * Maximum number of listed peers that a starting instance asks for their configuration version. Even without the
@@ -95,7 +95,7 @@
 
     private long nextRound;
 
-    private Peers(
+    private TcpPeerNetwork(
             PeerOptions options,
             Vertx vertx,
             NetServer server,
@@ -143,7 +143,7 @@
      * @param <D> the kind of deployment document
      * @return the running network; fails with a {@link StepException} at step {@code CONNECT} if the port is taken
      */
-    public static <D extends VersionedDeployment> CompletableFuture<Peers<D>> start(
+    public static <D extends VersionedDeployment> CompletableFuture<TcpPeerNetwork<D>> start(
             PeerOptions options,
             Vertx vertx,
             TimerService timers,
@@ -154,7 +154,7 @@
         return start(options, vertx, a -> client.connect(a.port(), a.host()), timers, config, reader, handler);
     }
 
-    static <D extends VersionedDeployment> CompletableFuture<Peers<D>> start(
+    static <D extends VersionedDeployment> CompletableFuture<TcpPeerNetwork<D>> start(
             PeerOptions options,
             Vertx vertx,
             Links.Dialer dialer,
@@ -163,8 +163,8 @@
             DocumentReader<D> reader,
             PeerHandler handler) {
         Objects.requireNonNull(handler, "handler");
-        var result = new CompletableFuture<Peers<D>>();
-        var peers = new CompletableFuture<Peers<D>>();
+        var result = new CompletableFuture<TcpPeerNetwork<D>>();
+        var peers = new CompletableFuture<TcpPeerNetwork<D>>();
         NetServer server = vertx.createNetServer(PeerTls.server(options));
         // Connections that arrive before the object is complete are closed; the peer dials again.
         server.connectHandler(socket -> {
@@ -184,7 +184,7 @@
                         listening.cause()));
                 return;
             }
-            Peers<D> p = new Peers<>(options, vertx, server, dialer, timers, config, reader, handler);
+            TcpPeerNetwork<D> p = new TcpPeerNetwork<>(options, vertx, server, dialer, timers, config, reader, handler);
             peers.complete(p);
             p.run();
             result.complete(p);
@@ -210,7 +210,8 @@
     private void querySources() {
         long boundNanos = options.timings().startupQueryTimeout().toNanos();
         var listRead = CompletableFuture.runAsync(
-                () -> platform.ifPresent(p -> runInterruptibly(p::readInstancesOnce)), Peers::startVirtualThread);
+                () -> platform.ifPresent(p -> runInterruptibly(p::readInstancesOnce)),
+                TcpPeerNetwork::startVirtualThread);
         var seeds = options.seeds().stream().map(this::query);
         var firstQueries = CompletableFuture.allOf(java.util.stream.Stream.concat(
                         seeds,
@@ -218,7 +219,7 @@
                                 listRead,
                                 CompletableFuture.runAsync(
                                         () -> platform.ifPresent(p -> runInterruptibly(p::readConfigOnce)),
-                                        Peers::startVirtualThread)))
+                                        TcpPeerNetwork::startVirtualThread)))
                 .toArray(CompletableFuture[]::new));
         await(firstQueries, boundNanos);
         List<Address> listed = links.knownAddresses();
@@ -241,7 +242,7 @@
     }
 
     /** Replaces the seed addresses. Each is dialled as long as no known member listens on it. */
-    public void seeds(List<Address> addresses) {
+    public void setSeeds(List<Address> addresses) {
         links.setSeeds(addresses);
     }
 
@@ -342,7 +343,7 @@
     }
 
     /** Schedules an update to the peers after the loads of this instance have changed. */
-    public void loadsChanged() {
+    public void onLoadsChanged() {
         ownLoadsChanged.set(true);
         scheduleLoadsFlush();
     }
@@ -350,7 +351,7 @@
     /**
      * Stores the published targets that this instance has read and sends the changed ones to the peers shortly after.
      */
-    public void publish(List<PublishedTarget> targets) {
+    public void publishTargets(List<PublishedTarget> targets) {
         if (gossipExchange.publish(targets)) {
             scheduleTargetsFlush();
         }
@@ -440,7 +441,7 @@
     }
 
     /** Calls the listener with each deployment that is put in force, and immediately with the current one, if any. */
-    public void onConfig(Consumer<D> listener) {
+    public void addConfigListener(Consumer<D> listener) {
         propagator.addListener(listener);
     }
 
@@ -457,7 +458,7 @@
     }
 
     /** Calls the listener with each instance list that the platform returns; it may be out of date or incomplete. */
-    public void onInstances(Consumer<List<PlatformInstance>> listener) {
+    public void addInstancesListener(Consumer<List<PlatformInstance>> listener) {
         platform.ifPresent(p -> p.addListener(listener));
     }
 
--- a/core/src/test/java/org/verbenatally/peer/Fleet.java
+++ b/core/src/test/java/org/verbenatally/peer/Fleet.java
@@ -59,7 +59,7 @@
         volatile List<TargetLoad> ownLoads = List.of();
         volatile Set<TargetId> ownLeaving = Set.of();
         volatile CompletableFuture<Void> responseGate = CompletableFuture.completedFuture(null);
-        Peers<Deployment> peers;
+        TcpPeerNetwork<Deployment> peers;
 
         @Override
         public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
@@ -151,9 +151,10 @@
                 Optional.empty(),
                 7,
                 timings);
-        node.peers = Peers.start(options, vertx, network.from(id), timers, node.config, ConfigReader::read, node)
+        node.peers = TcpPeerNetwork.start(
+                        options, vertx, network.from(id), timers, node.config, ConfigReader::read, node)
                 .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
-        node.peers.onConfig(d -> node.versions.add(d.version().value()));
+        node.peers.addConfigListener(d -> node.versions.add(d.version().value()));
         nodes.put(id, node);
         return node;
     }
--- a/core/src/test/java/org/verbenatally/peer/PeersTest.java
+++ b/core/src/test/java/org/verbenatally/peer/TcpPeerNetworkTest.java
@@ -28,7 +28,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-class PeersTest {
+class TcpPeerNetworkTest {
     private final Fleet fleet = new Fleet();
 
     @AfterEach
@@ -75,15 +75,15 @@
         fleet.awaitAllLive();
         var reporter = fleet.node("e1");
         reporter.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
-        reporter.peers.loadsChanged();
-        reporter.peers.publish(List.of(new PublishedTarget("engine-1", 5)));
+        reporter.peers.onLoadsChanged();
+        reporter.peers.publishTargets(List.of(new PublishedTarget("engine-1", 5)));
         Fleet.await(() -> fleet.nodes.values().stream()
                 .filter(n -> n != reporter)
                 .allMatch(n -> n.loads.getOrDefault(reporter.peers.self(), List.of()).stream()
                                 .anyMatch(l -> l.getTokens() == 400)
                         && n.published.contains("engine-1")));
         reporter.ownLoads = List.of();
-        reporter.peers.loadsChanged();
+        reporter.peers.onLoadsChanged();
         Fleet.await(() -> fleet.nodes.values().stream()
                 .filter(n -> n != reporter)
                 .allMatch(n -> n.loads.get(reporter.peers.self()).isEmpty()));
--- a/entry/src/main/java/org/verbenatally/entry/EntryServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/EntryServer.java
@@ -31,8 +31,8 @@
 import org.verbenatally.order.HttpEngineControl;
 import org.verbenatally.order.OrderIssuer;
 import org.verbenatally.peer.PeerOptions;
-import org.verbenatally.peer.Peers;
 import org.verbenatally.peer.PlatformInstance;
+import org.verbenatally.peer.TcpPeerNetwork;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.SuspectTable;
 import org.verbenatally.policy.TargetTable;
@@ -59,7 +59,7 @@
     private final CompletableFuture<Void> stopped = new CompletableFuture<>();
     private final Dispatcher dispatcher;
     private final AtomicBoolean closing = new AtomicBoolean();
-    private Peers<Deployment> peers;
+    private TcpPeerNetwork<Deployment> peers;
     private CallerServer callers;
     private StatusView status;
     private HttpEngineControl engines;
@@ -89,7 +89,7 @@
     public Ports start() {
         Context context = createTaskContext();
         PeerBridge bridge = new PeerBridge(targets, suspects);
-        peers = join(Peers.start(PeerOptions.of(settings), vertx, timer, config, ConfigReader::read, bridge));
+        peers = join(TcpPeerNetwork.start(PeerOptions.of(settings), vertx, timer, config, ConfigReader::read, bridge));
         TargetClients clients = new TargetClients(vertx);
         LoadPoller loads = new LoadPoller(clients, context, timer, config, targets, id -> peers.push());
         callers = new CallerServer(
@@ -108,8 +108,8 @@
                 metrics,
                 log);
         bridge.setKeyedCalls(callers.keyedCalls());
-        peers.onConfig(dispatcher::configure);
-        peers.onInstances(this::onInstances);
+        peers.addConfigListener(dispatcher::configure);
+        peers.addInstancesListener(this::onInstances);
         loads.start();
         engines = new HttpEngineControl(vertx);
         orders = new OrderIssuer(peers.self(), peers::members, config, engines, timer);
--- a/entry/src/main/java/org/verbenatally/entry/StatusView.java
+++ b/entry/src/main/java/org/verbenatally/entry/StatusView.java
@@ -18,7 +18,7 @@
 import org.verbenatally.core.TargetId;
 import org.verbenatally.entry.caller.CallerServer;
 import org.verbenatally.entry.operator.EntryMetrics;
-import org.verbenatally.peer.Peers;
+import org.verbenatally.peer.TcpPeerNetwork;
 import org.verbenatally.policy.Dispatcher;
 import org.verbenatally.policy.TargetTable;
 import org.verbenatally.wire.TargetLoad;
@@ -33,7 +33,7 @@
 
     private final String instance;
     private final ConfigHolder<Deployment> config;
-    private final Peers<Deployment> peers;
+    private final TcpPeerNetwork<Deployment> peers;
     private final TargetTable targets;
     private final CallerServer callers;
     private final Dispatcher dispatcher;
@@ -43,7 +43,7 @@
     StatusView(
             String instance,
             ConfigHolder<Deployment> config,
-            Peers<Deployment> peers,
+            TcpPeerNetwork<Deployment> peers,
             TargetTable targets,
             CallerServer callers,
             Dispatcher dispatcher,
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -19,7 +19,7 @@
 import org.verbenatally.config.DocumentReader;
 import org.verbenatally.core.LogEvent;
 import org.verbenatally.peer.MemberInfo;
-import org.verbenatally.peer.Peers;
+import org.verbenatally.peer.TcpPeerNetwork;
 import org.verbenatally.policy.SuspectTable;
 import org.verbenatally.time.TimerService;
 import org.verbenatally.wire.PublishedTarget;
@@ -46,7 +46,7 @@
     private final ForwardMetrics metrics = new ForwardMetrics();
     private final Shutdown shutdown;
     private final ForwardComponents components;
-    private volatile Peers<ForwardDeployment> peers;
+    private volatile TcpPeerNetwork<ForwardDeployment> peers;
 
     /**
      * Creates an instance that does not listen yet.
@@ -85,22 +85,22 @@
     }
 
     private void publishToPeers(List<PublishedTarget> targets) {
-        Peers<ForwardDeployment> p = peers;
+        TcpPeerNetwork<ForwardDeployment> p = peers;
         if (p != null) {
-            p.publish(targets);
+            p.publishTargets(targets);
         }
     }
 
     private void reportLoadsChanged() {
-        Peers<ForwardDeployment> p = peers;
+        TcpPeerNetwork<ForwardDeployment> p = peers;
         if (p != null) {
-            p.loadsChanged();
+            p.onLoadsChanged();
         }
     }
 
     /** Returns the number of live instances, this one included. */
     public int liveMembers() {
-        Peers<ForwardDeployment> p = peers;
+        TcpPeerNetwork<ForwardDeployment> p = peers;
         return p == null
                 ? 1
                 : (int) p.members().stream()
@@ -120,8 +120,9 @@
                 CallerVerticle::new, new DeploymentOptions().setThreadingModel(ThreadingModel.VIRTUAL_THREAD)));
         await(vertx.deployVerticle(
                 ReadinessVerticle::new, new DeploymentOptions().setThreadingModel(ThreadingModel.EVENT_LOOP)));
-        peers = join(Peers.start(options.peers(), vertx, timer, config, reader, new ForwardPeers(directory, suspects)));
-        peers.onConfig(d -> LogEvent.of("config.inForce")
+        peers = join(TcpPeerNetwork.start(
+                options.peers(), vertx, timer, config, reader, new ForwardPeers(directory, suspects)));
+        peers.addConfigListener(d -> LogEvent.of("config.inForce")
                 .with("version", d.version().value())
                 .with("routes", d.routeCount())
                 .info(LOG));
@@ -143,7 +144,7 @@
      * Applies changed options. Seeds, the grace period and the retry rule change at once, the rest at the next start.
      */
     public void reload(ForwardOptions next) {
-        peers.seeds(next.peers().seeds());
+        peers.setSeeds(next.peers().seeds());
         shutdown.setGrace(next.grace());
         components.retryAllowance().setRule(next.retryRule());
         LogEvent.of("instance.reloaded")
--- a/tools/src/main/java/org/verbenatally/load/PeerBench.java
+++ b/tools/src/main/java/org/verbenatally/load/PeerBench.java
@@ -33,7 +33,7 @@
 import org.verbenatally.peer.PeerHandler;
 import org.verbenatally.peer.PeerOptions;
 import org.verbenatally.peer.PeerTimings;
-import org.verbenatally.peer.Peers;
+import org.verbenatally.peer.TcpPeerNetwork;
 import org.verbenatally.settings.LogSettings;
 import org.verbenatally.time.SystemTimerService;
 import org.verbenatally.time.TimerService;
@@ -140,7 +140,7 @@
     private static final class Member implements PeerHandler {
         private final ConfigHolder<Deployment> config = new ConfigHolder<>();
         private volatile List<TargetLoad> loads;
-        private Peers<Deployment> peers;
+        private TcpPeerNetwork<Deployment> peers;
 
         Member(RandomGenerator random, int targetsInUse, int targets) {
             List<TargetLoad> initialLoads = new ArrayList<>();
@@ -163,7 +163,7 @@
             }
             next.add(randomLoad(random, targets));
             loads = next;
-            peers.loadsChanged();
+            peers.onLoadsChanged();
         }
 
         @Override
@@ -342,7 +342,7 @@
                     Optional.empty(),
                     seed + i,
                     PeerTimings.standard());
-            member.peers = Peers.start(options, vertx, timers, member.config, ConfigReader::read, member)
+            member.peers = TcpPeerNetwork.start(options, vertx, timers, member.config, ConfigReader::read, member)
                     .get(10, TimeUnit.SECONDS);
             members.add(member);
         }
