--- a/core/src/main/java/org/verbenatally/peer/PeerNetwork.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerNetwork.java
@@ -44,10 +44,10 @@
     boolean isKeySuccessorOf(InstanceId owner, Incarnation run);
 
     /** Marks this instance as leaving and notifies the peers immediately. */
-    void leave();
+    void announceLeaving();
 
     /** Sends the current state to all neighbours immediately, for changes that must not wait for the next period. */
-    void push();
+    void sendStateNow();
 
     /** Notifies the peers that this instance has left and closes all links. */
     CompletableFuture<Void> close();
--- a/core/src/main/java/org/verbenatally/peer/TcpPeerNetwork.java
+++ b/core/src/main/java/org/verbenatally/peer/TcpPeerNetwork.java
@@ -520,13 +520,13 @@
     }
 
     @Override
-    public void leave() {
+    public void announceLeaving() {
         membership.setOwnState(MemberState.LEAVING, Optional.empty());
         scheduleFlush();
     }
 
     @Override
-    public void push() {
+    public void sendStateNow() {
         gossipExchange.sendRound(links.all(), true);
     }
 
--- a/core/src/test/java/org/verbenatally/peer/TcpPeerNetworkTest.java
+++ b/core/src/test/java/org/verbenatally/peer/TcpPeerNetworkTest.java
@@ -46,7 +46,7 @@
         reporter.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
         reporter.ownLeaving = Set.of(new TargetId("engine-2"));
         reporter.suspects.put(5L, new Suspect(1, 5, 2, 1, 60_000));
-        reporter.peers.push();
+        reporter.peers.sendStateNow();
         Fleet.await(() -> fleet.nodes.values().stream()
                 .filter(n -> n != reporter)
                 .allMatch(n -> n.loads.getOrDefault(reporter.peers.self(), List.of()).stream()
@@ -107,7 +107,7 @@
     @Test
     void leavingAndLeftAreKnownWithoutTimeout() throws Exception {
         fleet.startMembers(3);
-        fleet.node("e3").peers.leave();
+        fleet.node("e3").peers.announceLeaving();
         Fleet.await(() -> fleet.node("e1").member("e3").status() == Status.LEAVING);
         fleet.nodes.remove("e3").peers.close().get(30, TimeUnit.SECONDS);
         Fleet.await(() -> fleet.node("e1").member("e3").status() == Status.GONE);
@@ -189,7 +189,7 @@
 
     private void transferKeysAndLeave(String from, String to) throws Exception {
         var predecessor = fleet.node(from).peers;
-        predecessor.leave();
+        predecessor.announceLeaving();
         var part = new KeyTransfer(
                 from, predecessor.incarnation().value(), ByteBuffer.allocate(32), 1_000, List.of(), false);
         predecessor
--- a/entry/src/main/java/org/verbenatally/entry/EntryServer.java
+++ b/entry/src/main/java/org/verbenatally/entry/EntryServer.java
@@ -91,7 +91,7 @@
         PeerBridge bridge = new PeerBridge(targets, suspects);
         peers = join(TcpPeerNetwork.start(PeerOptions.of(settings), vertx, timer, config, ConfigReader::read, bridge));
         TargetClients clients = new TargetClients(vertx);
-        LoadPoller loads = new LoadPoller(clients, context, timer, config, targets, id -> peers.push());
+        LoadPoller loads = new LoadPoller(clients, context, timer, config, targets, id -> peers.sendStateNow());
         callers = new CallerServer(
                 vertx,
                 context,
@@ -134,7 +134,7 @@
         boolean hasNewLeaving = !targets.knownLeaving().containsAll(listed);
         targets.listedLeaving(listed);
         if (hasNewLeaving) {
-            peers.push();
+            peers.sendStateNow();
         }
     }
 
--- a/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
+++ b/entry/src/main/java/org/verbenatally/entry/GracefulShutdown.java
@@ -56,7 +56,7 @@
     void run() throws InterruptedException {
         LOG.infof("caller: stopping, %d requests are open", callers.open());
         callers.keyedCalls().stopIssuing();
-        peers.leave();
+        peers.announceLeaving();
         TimeUnit.NANOSECONDS.sleep(LOAD_BALANCER_DELAY.toNanos());
         callers.refuse();
         // Streams continue while the keys are transferred; the order of the two does not matter to callers.
--- a/entry/src/main/java/org/verbenatally/entry/caller/CallerComponents.java
+++ b/entry/src/main/java/org/verbenatally/entry/caller/CallerComponents.java
@@ -73,6 +73,6 @@
     /** Marks a target as leaving, so that it receives no new work, and notifies the peers immediately. */
     void markLeaving(TargetId target) {
         targets.markLeaving(target);
-        peers.push();
+        peers.sendStateNow();
     }
 }
--- a/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
+++ b/entry/src/test/java/org/verbenatally/entry/key/KeyFleet.java
@@ -137,10 +137,10 @@
         }
 
         @Override
-        public void leave() {}
+        public void announceLeaving() {}
 
         @Override
-        public void push() {}
+        public void sendStateNow() {}
 
         @Override
         public CompletableFuture<Void> close() {
--- a/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardServer.java
@@ -190,7 +190,7 @@
 
     /** Starts a graceful shutdown; completes when the process may end. */
     public CompletableFuture<Void> stop() {
-        peers.leave();
+        peers.announceLeaving();
         return shutdown.start();
     }
 
