--- a/core/src/main/java/org/verbenatally/peer/GossipExchange.java
+++ b/core/src/main/java/org/verbenatally/peer/GossipExchange.java
@@ -66,7 +66,7 @@
         this.config = config;
         this.handler = handler;
         this.loads = new LoadTable(membership.ownRecord().run(), timers);
-        this.published = new PublishedTable(timers, timings.forget());
+        this.published = new PublishedTable(timers, timings.forgetAfter());
     }
 
     private static Gossip keepAlive() {
@@ -253,7 +253,7 @@
             // Half a gossip period less, so that a slightly early tick does not skip a frame.
             state.nextFrameTime = timers.nanos()
                     + timings.framePeriod(membership.fleetSize()).toNanos()
-                    - timings.gossip().toNanos() / 2;
+                    - timings.gossipPeriod().toNanos() / 2;
             state.wantedByPeer.removeAll(wantedByPeer);
             state.unknownHashes.removeAll(unknownHashes);
             if (own != null) {
@@ -265,8 +265,8 @@
     private void markStateSent(Link.GossipState state, OwnState own, List<Suspect> suspects) {
         // Half a gossip period less, so that a slightly early tick does not skip a round.
         state.nextStateTime = timers.nanos()
-                + timings.gossip().multipliedBy(own.periods()).toNanos()
-                - timings.gossip().toNanos() / 2;
+                + timings.gossipPeriod().multipliedBy(own.periods()).toNanos()
+                - timings.gossipPeriod().toNanos() / 2;
         suspects.forEach(s -> state.sentSuspects.put(key(s), stateOf(s)));
     }
 
--- a/core/src/main/java/org/verbenatally/peer/Links.java
+++ b/core/src/main/java/org/verbenatally/peer/Links.java
@@ -213,7 +213,7 @@
     private void backOff(Address address) {
         Backoff before = backoffs.get(address);
         int periods = before == null ? 1 : Math.min(MAX_BACKOFF_PERIODS, before.periods() * 2);
-        long wait = options.timings().gossip().toNanos() * periods;
+        long wait = options.timings().gossipPeriod().toNanos() * periods;
         backoffs.put(address, new Backoff(timers.nanos() + wait, periods));
     }
 
@@ -254,7 +254,7 @@
         }
         int order = otherRun.incarnation().compareTo(run.incarnation());
         boolean stalled = timers.nanos() - other.lastReceived
-                > options.timings().gossip().multipliedBy(2).toNanos();
+                > options.timings().gossipPeriod().multipliedBy(2).toNanos();
         boolean lowerDialled = link.dialled == self.compareTo(run) < 0;
         boolean keepNew = order < 0 || order == 0 && (stalled || lowerDialled && other.dialled != link.dialled);
         Link kept = keepNew ? link : other;
@@ -269,7 +269,7 @@
     /** Returns a usable link to a run: an open one, or else a new calls-only link. */
     CompletableFuture<Link> linkTo(MemberRecord peer) {
         long now = timers.nanos();
-        long maxIdleNanos = options.timings().gossip().multipliedBy(3).toNanos();
+        long maxIdleNanos = options.timings().gossipPeriod().multipliedBy(3).toNanos();
         Optional<Link> usable = openLinks.values().stream()
                 .filter(l -> l.isReady() && peer.run().equals(l.peer()))
                 .filter(l -> now - (l.carriesGossip() ? l.lastReceived : l.lastUsed) < maxIdleNanos)
@@ -283,18 +283,19 @@
         PeerTimings timings = options.timings();
         for (Link link : openLinks.values()) {
             boolean expectsFrames = !link.isReady() || link.carriesGossip() || link.isBusy();
-            if (expectsFrames && now - link.lastReceived > timings.linkSilence().toNanos()) {
+            if (expectsFrames
+                    && now - link.lastReceived > timings.linkSilenceTimeout().toNanos()) {
                 LOG.infof("peer: link to %s is silent, closing it", link);
                 link.close("silent");
             } else if (link.callsOnly
                     && !link.isBusy()
                     && now - link.lastUsed
-                            > timings.gossip().multipliedBy(IDLE_PERIODS).toNanos()) {
+                            > timings.gossipPeriod().multipliedBy(IDLE_PERIODS).toNanos()) {
                 link.close("idle");
             } else if (link.peerCallsOnly
                     && !link.isBusy()
                     && now - link.lastReceived
-                            > timings.gossip()
+                            > timings.gossipPeriod()
                                     .multipliedBy(IDLE_PERIODS * IDLE_PERIODS)
                                     .toNanos()) {
                 link.close("idle");
@@ -350,7 +351,7 @@
         if (!unconfirmed.isEmpty() && now - nextUnconfirmedDial >= 0) {
             nextUnconfirmedDial = now
                     + options.timings()
-                            .gossip()
+                            .gossipPeriod()
                             .multipliedBy(MAX_BACKOFF_PERIODS)
                             .toNanos();
             dialIfDue(unconfirmed.get(random.nextInt(unconfirmed.size())));
@@ -367,7 +368,7 @@
         ListSampler.shuffle(random, candidates);
         int wantedInOtherDomain = OTHER_DOMAIN_NEIGHBOURS - inOtherDomain.size();
         if (now - nextRenewal >= 0) {
-            Duration renewalPeriod = options.timings().neighbourRenewal().dividedBy(DIALLED_NEIGHBOURS);
+            Duration renewalPeriod = options.timings().neighbourRenewalPeriod().dividedBy(DIALLED_NEIGHBOURS);
             nextRenewal = now + renewalPeriod.toNanos();
             boolean renewInOtherDomain = random.nextInt(DIALLED_NEIGHBOURS) < OTHER_DOMAIN_NEIGHBOURS;
             dialCandidates(candidates, 1, renewInOtherDomain ? 1 : 0);
--- a/core/src/main/java/org/verbenatally/peer/Membership.java
+++ b/core/src/main/java/org/verbenatally/peer/Membership.java
@@ -96,7 +96,7 @@
         nextHeartbeat = timers.nanos();
         put(own, LOCAL);
         // A new instance knows no other members yet, so its table is stale at first, as after a pause.
-        staleUntil = timers.nanos() + timings.suspect().toNanos();
+        staleUntil = timers.nanos() + timings.minSuspectTimeout().toNanos();
     }
 
     /** Merges records and returns whether any of them shows that a member is leaving, has left or was replaced. */
@@ -211,7 +211,8 @@
         }
         List<Integer> unknown = new ArrayList<>();
         long now = timers.nanos();
-        long retryNanos = timings.gossip().multipliedBy(REQUEST_RETRY_PERIODS).toNanos();
+        long retryNanos =
+                timings.gossipPeriod().multipliedBy(REQUEST_RETRY_PERIODS).toNanos();
         for (int i = 0; i < n; i++) {
             int hash = heartbeats.getRows().get(i);
             TrackedRun tracked = byHash.get(hash);
@@ -291,13 +292,14 @@
             // Half a gossip period less, so that a slightly early tick does not skip a heartbeat.
             nextHeartbeat = now
                     + timings.heartbeatPeriod(fleetSize).toNanos()
-                    - timings.gossip().toNanos() / 2;
+                    - timings.gossipPeriod().toNanos() / 2;
             MemberRecord own = runs.get(self).member;
             put(own.withHeartbeat(own.heartbeat() + 1, own.configVersion()), LOCAL);
         }
         setFleetSize(memberCount());
         Set<InstanceId> newlyGone = new HashSet<>();
-        long retryNanos = timings.gossip().multipliedBy(REQUEST_RETRY_PERIODS).toNanos();
+        long retryNanos =
+                timings.gossipPeriod().multipliedBy(REQUEST_RETRY_PERIODS).toNanos();
         requestedAt.values().removeIf(t -> now - t > retryNanos);
         tombstones.values().removeIf(t -> now - t.until() > 0);
         for (TrackedRun tracked : List.copyOf(runs.values())) {
@@ -311,11 +313,12 @@
                     newlyGone.add(run.instance());
                 }
             }
-            Duration retention = tracked.member.successor().isPresent() ? timings.successorMemory() : timings.forget();
+            Duration retention =
+                    tracked.member.successor().isPresent() ? timings.successorRetention() : timings.forgetAfter();
             if (now - tracked.lastAdvance > retention.toNanos()) {
                 remove(tracked);
-                long until =
-                        now + timings.forget().multipliedBy(TOMBSTONE_PERIODS).toNanos();
+                long until = now
+                        + timings.forgetAfter().multipliedBy(TOMBSTONE_PERIODS).toNanos();
                 tombstones.put(run, new Tombstone(tracked.member.heartbeat(), until, tracked.member.address()));
             }
         }
--- a/core/src/main/java/org/verbenatally/peer/PeerTimings.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerTimings.java
@@ -5,28 +5,30 @@
 /**
  * Periods and timeouts of membership, links and configuration reads.
  *
- * @param gossip period of the gossip frames on each link
- * @param linkSilence silence timeout of a link: one without a frame for this long is closed and opened again
- * @param suspect a member whose heartbeat has not advanced for this long is suspect; minimum, grows with the fleet
- * @param gone a member whose heartbeat has not advanced for this long is considered gone; minimum, grows with the fleet
- * @param forget a member that is gone is forgotten after its heartbeat has not advanced for this long
- * @param successorMemory how long the key successor of a member that left is remembered; the lifetime of the keys
- * @param neighbourRenewal period in which all dialled neighbours are replaced; a new one is sent all tables
+ * @param gossipPeriod period of the gossip frames on each link
+ * @param linkSilenceTimeout silence timeout of a link: one without a frame for this long is closed and opened again
+ * @param minSuspectTimeout a member whose heartbeat has not advanced for this long is suspect; minimum, grows with the
+ *     fleet
+ * @param minGoneTimeout a member whose heartbeat has not advanced for this long is considered gone; minimum, grows with
+ *     the fleet
+ * @param forgetAfter a member that is gone is forgotten after its heartbeat has not advanced for this long
+ * @param successorRetention how long the key successor of a member that left is remembered; the lifetime of the keys
+ * @param neighbourRenewalPeriod period in which all dialled neighbours are replaced; a new one is sent all tables
  * @param startupQueryTimeout how long a starting instance waits for the platform and for each peer
- * @param poll period of the configuration reads of an instance that is not one of its region's readers
- * @param longPoll maximum wait of a reader's long poll
+ * @param pollPeriod period of the configuration reads of an instance that is not one of its region's readers
+ * @param longPollTimeout maximum wait of a reader's long poll
  */
 public record PeerTimings(
-        Duration gossip,
-        Duration linkSilence,
-        Duration suspect,
-        Duration gone,
-        Duration forget,
-        Duration successorMemory,
-        Duration neighbourRenewal,
+        Duration gossipPeriod,
+        Duration linkSilenceTimeout,
+        Duration minSuspectTimeout,
+        Duration minGoneTimeout,
+        Duration forgetAfter,
+        Duration successorRetention,
+        Duration neighbourRenewalPeriod,
         Duration startupQueryTimeout,
-        Duration poll,
-        Duration longPoll) {
+        Duration pollPeriod,
+        Duration longPollTimeout) {
 
     /**
      * Up to this fleet size, heartbeats advance with each frame; above it the heartbeat period grows with the fleet.
@@ -60,16 +62,16 @@
     /** Returns these timings with all values divided by the same number, for tests on loopback. */
     public PeerTimings dividedBy(int n) {
         return new PeerTimings(
-                gossip.dividedBy(n),
-                linkSilence.dividedBy(n),
-                suspect.dividedBy(n),
-                gone.dividedBy(n),
-                forget.dividedBy(n),
-                successorMemory.dividedBy(n),
-                neighbourRenewal.dividedBy(n),
+                gossipPeriod.dividedBy(n),
+                linkSilenceTimeout.dividedBy(n),
+                minSuspectTimeout.dividedBy(n),
+                minGoneTimeout.dividedBy(n),
+                forgetAfter.dividedBy(n),
+                successorRetention.dividedBy(n),
+                neighbourRenewalPeriod.dividedBy(n),
                 startupQueryTimeout.dividedBy(n),
-                poll.dividedBy(n),
-                longPoll.dividedBy(n));
+                pollPeriod.dividedBy(n),
+                longPollTimeout.dividedBy(n));
     }
 
     /**
@@ -78,23 +80,23 @@
      * by this period; above {@link #FULL_RATE_MEMBERS} members the ratio is constant.
      */
     Duration heartbeatPeriod(int members) {
-        return max(framePeriod(members), gossip.multipliedBy(members).dividedBy(FULL_RATE_MEMBERS));
+        return max(framePeriod(members), gossipPeriod.multipliedBy(members).dividedBy(FULL_RATE_MEMBERS));
     }
 
     /** Returns the period of the frames on a link; urgent changes are sent earlier in frames of their own. */
     Duration framePeriod(int members) {
-        return members <= Links.FULL_MESH_MEMBERS ? gossip : gossip.multipliedBy(LARGE_FLEET_PERIODS);
+        return members <= Links.FULL_MESH_MEMBERS ? gossipPeriod : gossipPeriod.multipliedBy(LARGE_FLEET_PERIODS);
     }
 
     /** Returns the time without a heartbeat after which a member of a fleet of this size is suspect. */
     Duration suspectTimeout(int members) {
-        return max(suspect, heartbeatPeriod(members).multipliedBy(SUSPECT_PERIODS));
+        return max(minSuspectTimeout, heartbeatPeriod(members).multipliedBy(SUSPECT_PERIODS));
     }
 
     /** Returns the time without a heartbeat after which a member of a fleet of this size is considered gone. */
     Duration goneTimeout(int members) {
         Duration scaled = suspectTimeout(members).multipliedBy(GONE_RATIO);
-        return max(gone, scaled);
+        return max(minGoneTimeout, scaled);
     }
 
     private static Duration max(Duration a, Duration b) {
--- a/core/src/main/java/org/verbenatally/peer/PlatformReader.java
+++ b/core/src/main/java/org/verbenatally/peer/PlatformReader.java
@@ -69,24 +69,24 @@
 
     private void readConfigRepeatedly() {
         try {
-            long backoff = timings.gossip().toNanos();
+            long backoff = timings.gossipPeriod().toNanos();
             while (!closed) {
                 if (!isReader()) {
-                    backoff = timings.gossip().toNanos();
+                    backoff = timings.gossipPeriod().toNanos();
                     awaitNextPoll();
                 }
                 long before = propagator.version();
                 long start = System.nanoTime();
-                Duration wait = isReader() ? timings.longPoll() : Duration.ZERO;
+                Duration wait = isReader() ? timings.longPollTimeout() : Duration.ZERO;
                 reads.incrementAndGet();
                 boolean succeeded = propagator.read(client, wait);
                 boolean waited = System.nanoTime() - start > wait.toNanos() / 2 && wait.isPositive();
                 if (succeeded && (waited || propagator.version() > before)) {
-                    backoff = timings.gossip().toNanos();
+                    backoff = timings.gossipPeriod().toNanos();
                 } else if (isReader()) {
                     // The platform is down, or responds at once with an old or invalid document: back off.
                     pause(backoff);
-                    backoff = Math.min(backoff * 2, timings.longPoll().toNanos() / 3);
+                    backoff = Math.min(backoff * 2, timings.longPollTimeout().toNanos() / 3);
                 }
             }
         } catch (InterruptedException e) {
@@ -97,9 +97,9 @@
     /** Waits for a poll period with jitter, or until this instance becomes a reader. */
     private void awaitNextPoll() throws InterruptedException {
         double jitter = 0.5 + random.nextDouble();
-        long until = System.nanoTime() + (long) (timings.poll().toNanos() * jitter);
+        long until = System.nanoTime() + (long) (timings.pollPeriod().toNanos() * jitter);
         while (System.nanoTime() - until < 0 && !isReader()) {
-            TimeUnit.NANOSECONDS.sleep(timings.gossip().multipliedBy(2).toNanos());
+            TimeUnit.NANOSECONDS.sleep(timings.gossipPeriod().multipliedBy(2).toNanos());
         }
     }
 
--- a/core/src/main/java/org/verbenatally/peer/TcpPeerNetwork.java
+++ b/core/src/main/java/org/verbenatally/peer/TcpPeerNetwork.java
@@ -195,7 +195,7 @@
     private void run() {
         LOG.infof("peer: %s (run %s) listens on %s", self.instance(), self.incarnation(), address());
         subscriptions.add(timers.onPause(lost -> links.restartSilenceTimeouts()));
-        subscriptions.add(timers.every(options.timings().gossip(), tick -> tick()));
+        subscriptions.add(timers.every(options.timings().gossipPeriod(), tick -> tick()));
         platform.ifPresent(p -> p.addListener(list -> links.setHints(list.stream()
                 .filter(i -> i.role() == PlatformInstance.Role.ENTRY)
                 .flatMap(i -> i.peerAddress().stream())
@@ -300,7 +300,7 @@
         // Half a gossip period less, so that a slightly early tick does not skip a round.
         nextRound = now
                 + options.timings().framePeriod(membership.fleetSize()).toNanos()
-                - options.timings().gossip().toNanos() / 2;
+                - options.timings().gossipPeriod().toNanos() / 2;
         membership.tick().forEach(gossipExchange::forget);
         gossipExchange.tick();
         links.tick();
