--- a/core/src/main/java/org/verbenatally/peer/Forwarder.java
+++ b/core/src/main/java/org/verbenatally/peer/Forwarder.java
@@ -78,7 +78,7 @@
             return runBounded(
                     owner,
                     timeout,
-                    n -> handler.onForward(self.instance(), call).get(n, TimeUnit.NANOSECONDS));
+                    n -> handler.onForwardedCall(self.instance(), call).get(n, TimeUnit.NANOSECONDS));
         }
         return overLink(owner, timeout, (link, nanos) -> {
             long id = callIds.incrementAndGet();
@@ -205,7 +205,7 @@
 
     void onCall(Link link, ForwardCall call) {
         link.inProgress.incrementAndGet();
-        handler.onForward(link.peer().instance(), call).whenComplete((result, e) -> {
+        handler.onForwardedCall(link.peer().instance(), call).whenComplete((result, e) -> {
             if (result != null) {
                 link.send(PeerFrame.forwardResult(result.deepCopy().setCallId(call.getCallId())));
             }
--- a/core/src/main/java/org/verbenatally/peer/GossipExchange.java
+++ b/core/src/main/java/org/verbenatally/peer/GossipExchange.java
@@ -122,7 +122,7 @@
 
     /** Updates the load table with the current load of this instance, which the next frames report. */
     void refreshLoads() {
-        loads.reportOwn(handler.targetLoads());
+        loads.reportOwn(handler.ownLoads());
     }
 
     /** Sends a frame on each link whose peer lacks load records or published targets. */
@@ -166,7 +166,7 @@
     /** Discards the state reported by a member that is gone. */
     void forget(InstanceId member) {
         loads.forget(member);
-        handler.onGone(member);
+        handler.onPeerGone(member);
     }
 
     private OwnState ownState(boolean mesh) {
@@ -329,7 +329,7 @@
         List<PublishedTarget> updates = List.of();
         if (gossip.getPublished() != null) {
             // All are checked before any is stored, so that a frame with an invalid one changes no published target.
-            handler.checkPublished(gossip.getPublished());
+            handler.validatePublished(gossip.getPublished());
             updates = gossip.getPublished().stream()
                     .filter(target -> published.put(target, link.id))
                     .toList();
--- a/core/src/main/java/org/verbenatally/peer/PeerHandler.java
+++ b/core/src/main/java/org/verbenatally/peer/PeerHandler.java
@@ -22,13 +22,13 @@
      * Runs a call whose idempotency key this instance owns, or completes with a rejection. Never completes
      * exceptionally.
      */
-    CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call);
+    CompletableFuture<ForwardResult> onForwardedCall(InstanceId from, ForwardCall call);
 
     /** Receives one part of a leaving instance's key table; completes when the part is stored. */
     CompletableFuture<Void> onKeyTransfer(InstanceId from, KeyTransfer part);
 
     /** Returns the in-flight load of this instance on each target. */
-    List<TargetLoad> targetLoads();
+    List<TargetLoad> ownLoads();
 
     /** Receives the in-flight load of another instance, which replaces its previous report. */
     void onTargetLoads(InstanceId from, List<TargetLoad> loads);
@@ -50,7 +50,7 @@
      *
      * @throws IllegalArgumentException if a field is invalid; the message names it
      */
-    default void checkPublished(List<PublishedTarget> targets) {}
+    default void validatePublished(List<PublishedTarget> targets) {}
 
     /** Receives published targets that other instances have read and that are newer than those known here. */
     default void onPublished(List<PublishedTarget> targets) {}
@@ -64,5 +64,5 @@
     }
 
     /** Discards the state reported by a peer that is gone. */
-    void onGone(InstanceId peer);
+    void onPeerGone(InstanceId peer);
 }
--- a/core/src/test/java/org/verbenatally/peer/Fleet.java
+++ b/core/src/test/java/org/verbenatally/peer/Fleet.java
@@ -62,7 +62,7 @@
         TcpPeerNetwork<Deployment> peers;
 
         @Override
-        public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
+        public CompletableFuture<ForwardResult> onForwardedCall(InstanceId from, ForwardCall call) {
             String body = peers.self() + " got " + call.getKey() + " from " + from;
             var result =
                     new ForwardResult(0, "done", 200, java.nio.ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public List<TargetLoad> targetLoads() {
+        public List<TargetLoad> ownLoads() {
             return ownLoads;
         }
 
@@ -111,7 +111,7 @@
         }
 
         @Override
-        public void onGone(InstanceId peer) {
+        public void onPeerGone(InstanceId peer) {
             gone.add(peer);
         }
 
--- a/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
+++ b/entry/src/main/java/org/verbenatally/entry/PeerBridge.java
@@ -37,7 +37,7 @@
     }
 
     @Override
-    public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
+    public CompletableFuture<ForwardResult> onForwardedCall(InstanceId from, ForwardCall call) {
         return keyedCalls.thenCompose(calls -> calls.onForward(from, call));
     }
 
@@ -47,7 +47,7 @@
     }
 
     @Override
-    public List<TargetLoad> targetLoads() {
+    public List<TargetLoad> ownLoads() {
         return targets.ownLoads();
     }
 
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void onGone(InstanceId peer) {
+    public void onPeerGone(InstanceId peer) {
         targets.forgetPeer(peer);
         suspects.forgetPeer(peer);
     }
--- a/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardPeers.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
+    public CompletableFuture<ForwardResult> onForwardedCall(InstanceId from, ForwardCall call) {
         return noKeys(from);
     }
 
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public List<TargetLoad> targetLoads() {
+    public List<TargetLoad> ownLoads() {
         return directory.ownLoads();
     }
 
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void checkPublished(List<PublishedTarget> published) {
+    public void validatePublished(List<PublishedTarget> published) {
         published.forEach(PublishedTargetCodec::decode);
     }
 
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public void onGone(InstanceId peer) {
+    public void onPeerGone(InstanceId peer) {
         directory.forgetPeer(peer);
         suspects.forgetPeer(peer);
     }
--- a/tools/src/main/java/org/verbenatally/load/PeerBench.java
+++ b/tools/src/main/java/org/verbenatally/load/PeerBench.java
@@ -167,7 +167,7 @@
         }
 
         @Override
-        public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
+        public CompletableFuture<ForwardResult> onForwardedCall(InstanceId from, ForwardCall call) {
             throw new UnsupportedOperationException("the benchmark does not forward calls");
         }
 
@@ -177,7 +177,7 @@
         }
 
         @Override
-        public List<TargetLoad> targetLoads() {
+        public List<TargetLoad> ownLoads() {
             return loads;
         }
 
@@ -207,7 +207,7 @@
         }
 
         @Override
-        public void onGone(InstanceId peer) {
+        public void onPeerGone(InstanceId peer) {
             // Ignored, as above.
         }
 
