--- a/core/src/main/java/org/verbenatally/config/ConfigException.java
+++ b/core/src/main/java/org/verbenatally/config/ConfigException.java
@@ -16,13 +16,13 @@
      *
      * @param line line number in the document, from 1; 0 if the fault has no location
      * @param field JSON pointer of the field, empty for the entire document
-     * @param expected what is wrong and what was expected
+     * @param message what is wrong and what was expected
      */
-    public record Fault(int line, String field, String expected) {
+    public record Fault(int line, String field, String message) {
         @Override
         public String toString() {
             String location = line > 0 ? "line " + line + ": " : "";
-            return location + (field.isEmpty() ? "document" : field) + ": " + expected;
+            return location + (field.isEmpty() ? "document" : field) + ": " + message;
         }
     }
 
