--- a/core/src/main/java/org/verbenatally/time/TimedAwait.java
+++ b/core/src/main/java/org/verbenatally/time/TimedAwait.java
@@ -26,7 +26,7 @@
     }
 
     /** Suspends the task for the given time, but at least for one millisecond. */
-    public static void pause(Vertx vertx, Duration time) {
+    public static void sleep(Vertx vertx, Duration time) {
         Promise<Void> elapsed = Promise.promise();
         vertx.setTimer(Math.max(1, time.toMillis()), id -> elapsed.complete());
         elapsed.future().await();
--- a/forward/src/main/java/org/verbenatally/forward/CallRun.java
+++ b/forward/src/main/java/org/verbenatally/forward/CallRun.java
@@ -68,7 +68,7 @@
                     components.chooser().chooseTarget(request.service().name(), tried);
             if (state.isEmpty() && sends == 0 && ++rounds < MAX_ROUNDS) {
                 tried.clear();
-                TimedAwait.pause(caller.owner(), ROUND_PAUSE);
+                TimedAwait.sleep(caller.owner(), ROUND_PAUSE);
                 continue;
             }
             if (state.isEmpty()) {
--- a/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardHandler.java
@@ -176,7 +176,7 @@
         while ((deployment.get().isEmpty() || !components.directory().isKnown())
                 && !caller.isGone()
                 && components.timer().nanos() - waitEnd < 0) {
-            TimedAwait.pause(caller.owner(), CONFIG_CHECK_INTERVAL);
+            TimedAwait.sleep(caller.owner(), CONFIG_CHECK_INTERVAL);
         }
         return deployment
                 .get()
--- a/forward/src/main/java/org/verbenatally/forward/StreamMigration.java
+++ b/forward/src/main/java/org/verbenatally/forward/StreamMigration.java
@@ -104,7 +104,7 @@
         if (chosen.isEmpty()) {
             LogEvent.of("stream.noDestination").request(request.id()).info(LOG);
             refusedBy.clear();
-            TimedAwait.pause(context.owner(), RETRY_PAUSE);
+            TimedAwait.sleep(context.owner(), RETRY_PAUSE);
             segment.reader().signal();
             return;
         }
--- a/forward/src/main/java/org/verbenatally/forward/TargetClient.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetClient.java
@@ -148,7 +148,7 @@
         if (headers.contains(HttpHeaders.CONTENT_LENGTH) || headers.contains(HttpHeaders.TRANSFER_ENCODING)) {
             return false;
         }
-        TimedAwait.pause(vertx, FAILURE_REPORT_DELAY);
+        TimedAwait.sleep(vertx, FAILURE_REPORT_DELAY);
         return failedConnections.contains(response.request().connection());
     }
 }
