--- a/forward/src/main/java/org/verbenatally/forward/TargetClient.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetClient.java
@@ -126,7 +126,7 @@
             return TimedAwait.await(responseFuture, limit);
         } catch (TimeoutException e) {
             request.reset();
-            String message = "no answer within " + limit.toMillis() + " ms";
+            String message = "no response within " + limit.toMillis() + " ms";
             throw new StepException(Step.SEND, peer, Outcome.UNKNOWN, message, e);
         } catch (Exception e) {
             request.reset();
