--- a/core/src/main/java/org/verbenatally/peer/GossipExchange.java
+++ b/core/src/main/java/org/verbenatally/peer/GossipExchange.java
@@ -66,7 +66,7 @@
         this.config = config;
         this.handler = handler;
         this.loads = new LoadTable(membership.ownRecord().run(), timers);
-        this.published = new PublishedTable(timers, timings.forget());
+        this.published = new PublishedTable(timers, timings.forgetAfter());
     }
 
     private static Gossip keepAlive() {
@@ -122,7 +122,7 @@
 
     /** Updates the load table with the current load of this instance, which the next frames report. */
     void refreshLoads() {
-        loads.reportOwn(handler.targetLoads());
+        loads.reportOwn(handler.ownLoads());
     }
 
     /** Sends a frame on each link whose peer lacks load records or published targets. */
@@ -166,7 +166,7 @@
     /** Discards the state reported by a member that is gone. */
     void forget(InstanceId member) {
         loads.forget(member);
-        handler.onGone(member);
+        handler.onPeerGone(member);
     }
 
     private OwnState ownState(boolean mesh) {
@@ -253,7 +253,7 @@
             // Half a gossip period less, so that a slightly early tick does not skip a frame.
             state.nextFrameTime = timers.nanos()
                     + timings.framePeriod(membership.fleetSize()).toNanos()
-                    - timings.gossip().toNanos() / 2;
+                    - timings.gossipPeriod().toNanos() / 2;
             state.wantedByPeer.removeAll(wantedByPeer);
             state.unknownHashes.removeAll(unknownHashes);
             if (own != null) {
@@ -265,8 +265,8 @@
     private void markStateSent(Link.GossipState state, OwnState own, List<Suspect> suspects) {
         // Half a gossip period less, so that a slightly early tick does not skip a round.
         state.nextStateTime = timers.nanos()
-                + timings.gossip().multipliedBy(own.periods()).toNanos()
-                - timings.gossip().toNanos() / 2;
+                + timings.gossipPeriod().multipliedBy(own.periods()).toNanos()
+                - timings.gossipPeriod().toNanos() / 2;
         suspects.forEach(s -> state.sentSuspects.put(key(s), stateOf(s)));
     }
 
@@ -329,7 +329,7 @@
         List<PublishedTarget> updates = List.of();
         if (gossip.getPublished() != null) {
             // All are checked before any is stored, so that a frame with an invalid one changes no published target.
-            handler.checkPublished(gossip.getPublished());
+            handler.validatePublished(gossip.getPublished());
             updates = gossip.getPublished().stream()
                     .filter(target -> published.put(target, link.id))
                     .toList();
--- a/core/src/test/java/org/verbenatally/peer/Fleet.java
+++ b/core/src/test/java/org/verbenatally/peer/Fleet.java
@@ -59,10 +59,10 @@
         volatile List<TargetLoad> ownLoads = List.of();
         volatile Set<TargetId> ownLeaving = Set.of();
         volatile CompletableFuture<Void> responseGate = CompletableFuture.completedFuture(null);
-        Peers<Deployment> peers;
+        TcpPeerNetwork<Deployment> peers;
 
         @Override
-        public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
+        public CompletableFuture<ForwardResult> onForwardedCall(InstanceId from, ForwardCall call) {
             String body = peers.self() + " got " + call.getKey() + " from " + from;
             var result =
                     new ForwardResult(0, "done", 200, java.nio.ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
@@ -76,7 +76,7 @@
         }
 
         @Override
-        public List<TargetLoad> targetLoads() {
+        public List<TargetLoad> ownLoads() {
             return ownLoads;
         }
 
@@ -111,7 +111,7 @@
         }
 
         @Override
-        public void onGone(InstanceId peer) {
+        public void onPeerGone(InstanceId peer) {
             gone.add(peer);
         }
 
@@ -151,9 +151,10 @@
                 Optional.empty(),
                 7,
                 timings);
-        node.peers = Peers.start(options, vertx, network.from(id), timers, node.config, ConfigReader::read, node)
+        node.peers = TcpPeerNetwork.start(
+                        options, vertx, network.from(id), timers, node.config, ConfigReader::read, node)
                 .get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
-        node.peers.onConfig(d -> node.versions.add(d.version().value()));
+        node.peers.addConfigListener(d -> node.versions.add(d.version().value()));
         nodes.put(id, node);
         return node;
     }
--- a/core/src/test/java/org/verbenatally/peer/PeersTest.java
+++ b/core/src/test/java/org/verbenatally/peer/TcpPeerNetworkTest.java
@@ -28,7 +28,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-class PeersTest {
+class TcpPeerNetworkTest {
     private final Fleet fleet = new Fleet();
 
     @AfterEach
@@ -46,7 +46,7 @@
         reporter.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
         reporter.ownLeaving = Set.of(new TargetId("engine-2"));
         reporter.suspects.put(5L, new Suspect(1, 5, 2, 1, 60_000));
-        reporter.peers.push();
+        reporter.peers.sendStateNow();
         Fleet.await(() -> fleet.nodes.values().stream()
                 .filter(n -> n != reporter)
                 .allMatch(n -> n.loads.getOrDefault(reporter.peers.self(), List.of()).stream()
@@ -75,15 +75,15 @@
         fleet.awaitAllLive();
         var reporter = fleet.node("e1");
         reporter.ownLoads = List.of(new TargetLoad("engine-1", 3, 400));
-        reporter.peers.loadsChanged();
-        reporter.peers.publish(List.of(new PublishedTarget("engine-1", 5)));
+        reporter.peers.onLoadsChanged();
+        reporter.peers.publishTargets(List.of(new PublishedTarget("engine-1", 5)));
         Fleet.await(() -> fleet.nodes.values().stream()
                 .filter(n -> n != reporter)
                 .allMatch(n -> n.loads.getOrDefault(reporter.peers.self(), List.of()).stream()
                                 .anyMatch(l -> l.getTokens() == 400)
                         && n.published.contains("engine-1")));
         reporter.ownLoads = List.of();
-        reporter.peers.loadsChanged();
+        reporter.peers.onLoadsChanged();
         Fleet.await(() -> fleet.nodes.values().stream()
                 .filter(n -> n != reporter)
                 .allMatch(n -> n.loads.get(reporter.peers.self()).isEmpty()));
@@ -107,7 +107,7 @@
     @Test
     void leavingAndLeftAreKnownWithoutTimeout() throws Exception {
         fleet.startMembers(3);
-        fleet.node("e3").peers.leave();
+        fleet.node("e3").peers.announceLeaving();
         Fleet.await(() -> fleet.node("e1").member("e3").status() == Status.LEAVING);
         fleet.nodes.remove("e3").peers.close().get(30, TimeUnit.SECONDS);
         Fleet.await(() -> fleet.node("e1").member("e3").status() == Status.GONE);
@@ -189,7 +189,7 @@
 
     private void transferKeysAndLeave(String from, String to) throws Exception {
         var predecessor = fleet.node(from).peers;
-        predecessor.leave();
+        predecessor.announceLeaving();
         var part = new KeyTransfer(
                 from, predecessor.incarnation().value(), ByteBuffer.allocate(32), 1_000, List.of(), false);
         predecessor
--- a/tools/src/main/java/org/verbenatally/load/PeerBench.java
+++ b/tools/src/main/java/org/verbenatally/load/PeerBench.java
@@ -33,7 +33,7 @@
 import org.verbenatally.peer.PeerHandler;
 import org.verbenatally.peer.PeerOptions;
 import org.verbenatally.peer.PeerTimings;
-import org.verbenatally.peer.Peers;
+import org.verbenatally.peer.TcpPeerNetwork;
 import org.verbenatally.settings.LogSettings;
 import org.verbenatally.time.SystemTimerService;
 import org.verbenatally.time.TimerService;
@@ -140,7 +140,7 @@
     private static final class Member implements PeerHandler {
         private final ConfigHolder<Deployment> config = new ConfigHolder<>();
         private volatile List<TargetLoad> loads;
-        private Peers<Deployment> peers;
+        private TcpPeerNetwork<Deployment> peers;
 
         Member(RandomGenerator random, int targetsInUse, int targets) {
             List<TargetLoad> initialLoads = new ArrayList<>();
@@ -163,11 +163,11 @@
             }
             next.add(randomLoad(random, targets));
             loads = next;
-            peers.loadsChanged();
+            peers.onLoadsChanged();
         }
 
         @Override
-        public CompletableFuture<ForwardResult> onForward(InstanceId from, ForwardCall call) {
+        public CompletableFuture<ForwardResult> onForwardedCall(InstanceId from, ForwardCall call) {
             throw new UnsupportedOperationException("the benchmark does not forward calls");
         }
 
@@ -177,7 +177,7 @@
         }
 
         @Override
-        public List<TargetLoad> targetLoads() {
+        public List<TargetLoad> ownLoads() {
             return loads;
         }
 
@@ -207,7 +207,7 @@
         }
 
         @Override
-        public void onGone(InstanceId peer) {
+        public void onPeerGone(InstanceId peer) {
             // Ignored, as above.
         }
 
@@ -342,7 +342,7 @@
                     Optional.empty(),
                     seed + i,
                     PeerTimings.standard());
-            member.peers = Peers.start(options, vertx, timers, member.config, ConfigReader::read, member)
+            member.peers = TcpPeerNetwork.start(options, vertx, timers, member.config, ConfigReader::read, member)
                     .get(10, TimeUnit.SECONDS);
             members.add(member);
         }
