--- a/core/src/main/java/org/verbenatally/policy/Dispatcher.java
+++ b/core/src/main/java/org/verbenatally/policy/Dispatcher.java
@@ -26,7 +26,7 @@
  */
 public final class Dispatcher implements AutoCloseable {
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(20);
-    /** The requests in flight are summarised once in this many sweeps; their remaining lengths change slowly. */
+    /** Number of periodic sweeps for one summary of the requests in flight; their remaining lengths change slowly. */
     private static final int SWEEPS_PER_SUMMARY = 10;
 
     private static final Duration RETRY_AFTER = Duration.ofSeconds(1);
--- a/core/src/main/java/org/verbenatally/policy/HeadroomRouting.java
+++ b/core/src/main/java/org/verbenatally/policy/HeadroomRouting.java
@@ -22,7 +22,7 @@
     /** Penalty on the score of a target without a recent report, on top of its known load. */
     private static final double NO_REPORT_PENALTY = 0.4;
 
-    /** Memory load above which memory counts; below it, equal batches give the shortest token gaps. */
+    /** Memory load above which it adds to the score; below it, equal batches give the shortest token gaps. */
     private static final double MEMORY_THRESHOLD = 0.75;
     /** Weight of the memory load above the threshold, relative to the share of the batch in use. */
     private static final double MEMORY_WEIGHT = 4;
--- a/core/src/main/java/org/verbenatally/policy/WaitEstimator.java
+++ b/core/src/main/java/org/verbenatally/policy/WaitEstimator.java
@@ -10,7 +10,7 @@
  * Estimates waits from the rate at which requests of a kind have started recently. Not safe for use by several threads.
  */
 final class WaitEstimator {
-    /** Time constant, in seconds; starts older than it count for little. */
+    /** Time constant of the decay of the start rate, in seconds; starts older than it count for little. */
     private static final double TIME_CONSTANT_SECONDS = 5;
     /** Rate assumed before any start, in requests per second. */
     private static final double INITIAL_RATE = 2;
--- a/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardComponents.java
@@ -3,7 +3,7 @@
 import org.verbenatally.time.TimerService;
 
 /**
- * The components of an instance that forwarding a request uses.
+ * The components of an instance that are used to forward a request.
  *
  * @param timer clock
  * @param directory targets
--- a/forward/src/main/java/org/verbenatally/forward/ForwardTarget.java
+++ b/forward/src/main/java/org/verbenatally/forward/ForwardTarget.java
@@ -37,7 +37,7 @@
         Objects.requireNonNull(failureDomain, "failureDomain");
     }
 
-    /** Returns whether two descriptions are of the same run of a target. */
+    /** Returns whether both descriptions are of the same target, with no restart in between. */
     boolean isSameRun(ForwardTarget other) {
         return id.equals(other.id) && startedMs == other.startedMs && address.equals(other.address);
     }
--- a/forward/src/main/java/org/verbenatally/forward/Generation.java
+++ b/forward/src/main/java/org/verbenatally/forward/Generation.java
@@ -3,7 +3,7 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller states about the generation that it asks for.
+ * Token counts that a caller states for a generation: the tokens that an engine generates for one request.
  *
  * @param promptTokens tokens to read
  * @param maxTokens maximum number of tokens to generate
--- a/forward/src/main/java/org/verbenatally/forward/ReadRate.java
+++ b/forward/src/main/java/org/verbenatally/forward/ReadRate.java
@@ -11,7 +11,10 @@
  * so that the reads of the whole fleet count; one that receives no updates from the others reads for itself.
  */
 public final class ReadRate {
-    /** A leaving engine is noticed within about an eighth of a second, of the second or two of notice that it gives. */
+    /**
+     * Reads by all instances together. A leaving engine, which gives a second or two of notice, is noticed within about
+     * an eighth of a second.
+     */
     private static final int FLEET_READS_PER_SECOND = 8;
 
     private static final Duration MIN_PAUSE = Duration.ofSeconds(1);
--- a/forward/src/main/java/org/verbenatally/forward/RequestHead.java
+++ b/forward/src/main/java/org/verbenatally/forward/RequestHead.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 /**
- * What a caller's request states about itself.
+ * The values that an instance reads from the head of a caller's request.
  *
  * @param id id of this request; each retry by the caller has its own
  * @param host host that it names
--- a/forward/src/main/java/org/verbenatally/forward/RetryAllowance.java
+++ b/forward/src/main/java/org/verbenatally/forward/RetryAllowance.java
@@ -22,7 +22,7 @@
     private static final int MAX_SENDS = 3;
 
     /**
-     * The limit that all instances keep together.
+     * The retry limit, which holds for all instances together.
      *
      * @param ratio retries allowed for each first send
      * @param window length of the sliding window
--- a/forward/src/main/java/org/verbenatally/forward/ServiceSpec.java
+++ b/forward/src/main/java/org/verbenatally/forward/ServiceSpec.java
@@ -15,7 +15,7 @@
 public record ServiceSpec(ServiceName name, int maxConnections, Optional<EngineTraits> engine) {
 
     /**
-     * What the model engines of a service have in common.
+     * Properties that all model engines of a service share.
      *
      * @param memoryTokens key-value memory, in tokens
      * @param supportsCopies whether a running generation can be copied to another engine
--- a/forward/src/main/java/org/verbenatally/forward/TargetChooser.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetChooser.java
@@ -33,14 +33,15 @@
     /** Time that each running generation adds to the steps that a new one waits for, in milliseconds. */
     private static final double MS_PER_RUNNING_GENERATION = 3;
     /**
-     * Share of an engine's memory that is planned for. Beyond it, generations may be interrupted and their prompts read
-     * again.
+     * Share of an engine's memory that generations are expected to fill at most. Beyond it, the engine may interrupt
+     * generations and read their prompts again.
      */
     static final double PLANNED_MEMORY_SHARE = 0.92;
     /** All of an engine's memory; more than this is planned only for generations that would be lost otherwise. */
     static final double FULL_MEMORY_SHARE = 1.0;
     /**
-     * Share of an engine's memory, including what waits there, beyond which more generations would only wait in vain.
+     * Share of an engine's memory, counting the generations that wait there, beyond which a further one would wait
+     * without result.
      */
     static final double OVERFULL_MEMORY_SHARE = 1.3;
     /** If engines have started to leave within this time, more are expected to follow. */
--- a/forward/src/main/java/org/verbenatally/forward/TargetState.java
+++ b/forward/src/main/java/org/verbenatally/forward/TargetState.java
@@ -73,7 +73,7 @@
         return target;
     }
 
-    /** Returns the revision of the published list up to which the target is known. */
+    /** Returns the revision of the published list that this state reflects. */
     long revision() {
         return revision;
     }
