--- a/ctl/src/main/java/org/verbenatally/ctl/CommentedJson.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/CommentedJson.java
@@ -14,17 +14,19 @@
     /** Closing brackets of the open objects and arrays, innermost first. */
     private final Deque<Character> open = new ArrayDeque<>();
 
+    /** Comment of the last value, written after the comma that may follow the value. */
     private String pendingComment = "";
-    private boolean first = true;
+    /** Whether no comma may precede the next value or comment. */
+    private boolean omitComma = true;
 
-    /** Opens an object; {@code field} is {@code null} inside an array and at the top. */
-    CommentedJson object(String field) {
-        return start(field, '{', '}');
+    /** Opens an object; {@code field} is {@code null} inside an array and at the top level. */
+    CommentedJson beginObject(String field) {
+        return begin(field, '{', '}');
     }
 
     /** Opens an array. */
-    CommentedJson array(String field) {
-        return start(field, '[', ']');
+    CommentedJson beginArray(String field) {
+        return begin(field, '[', ']');
     }
 
     /** Closes the innermost object or array. */
@@ -32,16 +34,16 @@
         char close = open.pop();
         text.append(pendingComment);
         pendingComment = "";
-        newLine();
+        writeNewLine();
         text.append(close);
-        first = false;
+        omitComma = false;
         return this;
     }
 
-    /** Writes a text, number or boolean, with a comment that says where it came from. */
+    /** Writes a string, number or boolean, followed by the comment at the end of its line if it is not empty. */
     CommentedJson value(String field, Object value, String comment) {
-        separate();
-        name(field);
+        writeSeparator();
+        writeName(field);
         if (value instanceof String string) {
             text.append('"')
                     .append(JsonStringEncoder.getInstance().quoteAsString(string))
@@ -49,16 +51,16 @@
         } else {
             text.append(Objects.requireNonNull(value, field));
         }
-        pendingComment = comment.isEmpty() ? "" : " // " + oneLine(comment);
+        pendingComment = comment.isEmpty() ? "" : " // " + toSingleLine(comment);
         return this;
     }
 
     /** Writes a comment on a line of its own before the next value. */
     CommentedJson comment(String comment) {
-        separate();
-        text.append("// ").append(oneLine(comment));
+        writeSeparator();
+        text.append("// ").append(toSingleLine(comment));
         // The next value starts on a new line without a comma after the comment.
-        first = true;
+        omitComma = true;
         return this;
     }
 
@@ -68,38 +70,38 @@
         return text + "\n";
     }
 
-    private CommentedJson start(String field, char opening, char closing) {
+    private CommentedJson begin(String field, char opening, char closing) {
         if (!open.isEmpty()) {
-            separate();
+            writeSeparator();
         }
-        name(field);
+        writeName(field);
         text.append(opening);
         open.push(closing);
-        first = true;
+        omitComma = true;
         return this;
     }
 
-    private void name(String field) {
+    private void writeName(String field) {
         if (field != null) {
             text.append('"').append(field).append("\": ");
         }
     }
 
-    private void separate() {
-        if (!first) {
+    private void writeSeparator() {
+        if (!omitComma) {
             text.append(',');
         }
         text.append(pendingComment);
         pendingComment = "";
-        newLine();
-        first = false;
+        writeNewLine();
+        omitComma = false;
     }
 
-    private void newLine() {
+    private void writeNewLine() {
         text.append('\n').append(INDENT.repeat(open.size()));
     }
 
-    private static String oneLine(String comment) {
+    private static String toSingleLine(String comment) {
         return comment.replaceAll("\\s+", " ");
     }
 }
--- a/ctl/src/main/java/org/verbenatally/ctl/Contradictions.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/Contradictions.java
@@ -14,38 +14,40 @@
 import org.verbenatally.settings.TargetAnswers;
 import org.verbenatally.settings.WorkAnswers;
 
-/** Finds answers that cannot both hold. Each fault names the two answers. */
+/** Finds answers that contradict each other. Each fault names both answers. */
 final class Contradictions {
 
     /**
-     * Two answers about one piece of work that cannot both hold.
+     * Two answers about the same work that contradict each other.
      *
-     * @param applies whether they are given
-     * @param field the second of the two answers
-     * @param text the first answer and the reason
+     * @param violated whether both answers are given
+     * @param field name of the second answer
+     * @param message the first answer and the reason
      */
-    private record Rule(Predicate<WorkAnswers> applies, String field, String text) {}
+    private record Rule(Predicate<WorkAnswers> violated, String field, String message) {}
 
     private static final List<Rule> WORK_RULES = List.of(
             new Rule(
-                    w -> mustNotRepeat(w) && Boolean.TRUE.equals(w.getMayRetry()),
+                    w -> isNotRepeatable(w) && Boolean.TRUE.equals(w.getMayRetry()),
                     "mayRetry",
                     "ifDoubled says that doing the work twice does harm, so mayRetry must be false"),
             new Rule(
-                    w -> mustNotRepeat(w) && isEngine(w),
+                    w -> isNotRepeatable(w) && isServedByEngine(w),
                     "servedBy",
                     "ifDoubled says that doing the work twice does harm; only plain services run work at most once,"
                             + " so servedBy must be service"),
             new Rule(
-                    w -> isEngine(w) && w.getModel() == null,
+                    w -> isServedByEngine(w) && w.getModel() == null,
                     "model",
                     "servedBy is engine, so model must name the model"),
             new Rule(
-                    w -> !isEngine(w) && w.getModel() != null, "model", "servedBy is service, so model must be absent"),
+                    w -> !isServedByEngine(w) && w.getModel() != null,
+                    "model",
+                    "servedBy is service, so model must be absent"),
             new Rule(
-                    w -> !isEngine(w) && w.getShownAsItGrows(),
+                    w -> !isServedByEngine(w) && w.getShownAsItGrows(),
                     "shownAsItGrows",
-                    "servedBy is service, whose answers arrive as a whole, so shownAsItGrows must be false"),
+                    "servedBy is service, whose responses are not streamed, so shownAsItGrows must be false"),
             new Rule(
                     w -> w.getUsualTokens() != null
                             && w.getLongestTokens() != null
@@ -56,7 +58,7 @@
     private Contradictions() {}
 
     /** Returns all contradictions in the order of the answers. */
-    static List<Fault> in(AnswersDocument answers) {
+    static List<Fault> find(AnswersDocument answers) {
         List<Fault> faults = new ArrayList<>();
         for (int i = 0; i < answers.getWork().size(); i++) {
             checkWork(answers, i, faults);
@@ -72,14 +74,15 @@
 
     private static void checkWork(AnswersDocument answers, int index, List<Fault> faults) {
         WorkAnswers work = answers.getWork().get(index);
-        String place = "/work/" + index + "/";
+        String pointerPrefix = "/work/" + index + "/";
         WORK_RULES.stream()
-                .filter(rule -> rule.applies().test(work))
-                .forEach(rule -> faults.add(new Fault(0, place + rule.field(), work.getName() + ": " + rule.text())));
-        if (answers.getTargets().stream().noneMatch(target -> serves(target, work))) {
-            String wanted = isEngine(work) ? "an engine with model " + work.getModel() : "a plain service";
+                .filter(rule -> rule.violated().test(work))
+                .forEach(rule ->
+                        faults.add(new Fault(0, pointerPrefix + rule.field(), work.getName() + ": " + rule.message())));
+        if (answers.getTargets().stream().noneMatch(target -> canServe(target, work))) {
+            String needed = isServedByEngine(work) ? "an engine with model " + work.getModel() : "a plain service";
             faults.add(new Fault(
-                    0, place + "servedBy", work.getName() + ": needs " + wanted + ", but targets names none"));
+                    0, pointerPrefix + "servedBy", work.getName() + ": needs " + needed + ", but targets lists none"));
         }
     }
 
@@ -87,17 +90,17 @@
         if (caller.getUsualWork() == null) {
             return Optional.empty();
         }
-        WorkAnswers usual = work.get(caller.getUsualWork());
-        if (usual == null) {
-            return Optional.of(new Fault(0, field, "names " + caller.getUsualWork() + ", which work does not list"));
+        WorkAnswers usualWork = work.get(caller.getUsualWork());
+        if (usualWork == null) {
+            return Optional.of(new Fault(0, field, "names " + caller.getUsualWork() + ", which is not listed in work"));
         }
-        return isEngine(usual)
+        return isServedByEngine(usualWork)
                 ? Optional.empty()
-                : Optional.of(new Fault(0, field, "names " + usual.getName() + ", whose servedBy is not engine"));
+                : Optional.of(new Fault(0, field, "names " + usualWork.getName() + ", whose servedBy is not engine"));
     }
 
-    private static boolean serves(TargetAnswers target, WorkAnswers work) {
-        if (!isEngine(work)) {
+    private static boolean canServe(TargetAnswers target, WorkAnswers work) {
+        if (!isServedByEngine(work)) {
             return target.getType() == TargetAnswers.Type.SERVICE;
         }
         return target.getType() == TargetAnswers.Type.ENGINE
@@ -105,11 +108,11 @@
                         .anyMatch(model -> model.getModel().equals(work.getModel()));
     }
 
-    private static boolean mustNotRepeat(WorkAnswers work) {
+    private static boolean isNotRepeatable(WorkAnswers work) {
         return work.getIfDoubled() != WorkAnswers.IfDoubled.NOTHING;
     }
 
-    private static boolean isEngine(WorkAnswers work) {
+    private static boolean isServedByEngine(WorkAnswers work) {
         return work.getServedBy() == WorkAnswers.ServedBy.ENGINE;
     }
 }
--- a/ctl/src/main/java/org/verbenatally/ctl/DeploymentGenerator.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/DeploymentGenerator.java
@@ -12,15 +12,17 @@
 import org.verbenatally.settings.WorkAnswers;
 
 /**
- * Generates a deployment document from answers to the questionnaire. The same answers give the same bytes, and each
- * generated value carries a comment that names the answer it came from.
+ * Generates a deployment document from answers to the questionnaire. The same answers always give the same bytes, and
+ * each generated value carries a comment that names the answer it was derived from.
  */
 final class DeploymentGenerator {
     /** Weight of a large organisation when capacity is short; a small one has 1. */
     private static final int LARGE_SHARE = 4;
 
-    private static final int REPEATABLE_ATTEMPTS = 3;
-    private static final int MILLIS = 1000;
+    /** {@code maxAttempts} of a kind that may be retried; any other kind has 1. */
+    private static final int MAX_ATTEMPTS = 3;
+
+    private static final int MILLIS_PER_SECOND = 1000;
 
     private final AnswersDocument answers;
     private final CommentedJson json = new CommentedJson();
@@ -33,142 +35,148 @@
      * Generates the document.
      *
      * @param source name of the answers for error messages
-     * @throws ConfigException if answers contradict each other, or the document they give is not accepted
+     * @throws ConfigException if answers contradict each other, or the generated document is not accepted
      */
     static String generate(String source, AnswersDocument answers) throws ConfigException {
-        List<ConfigException.Fault> contradictions = Contradictions.in(answers);
+        List<ConfigException.Fault> contradictions = Contradictions.find(answers);
         if (!contradictions.isEmpty()) {
             throw new ConfigException(source, contradictions);
         }
-        String document = new DeploymentGenerator(answers).write();
+        String document = new DeploymentGenerator(answers).writeDocument();
         ConfigReader.read("document generated from " + source, document.getBytes(StandardCharsets.UTF_8));
         return document;
     }
 
-    private String write() {
-        json.object(null);
+    private String writeDocument() {
+        json.beginObject(null);
         json.value("deployment", answers.getDeployment(), "answer: deployment");
         json.value("version", answers.getVersion(), "answer: version");
         json.value("entryCount", answers.getEntryInstances(), "answer: entryInstances");
-        json.array("organisations");
+        json.beginArray("organisations");
         for (int i = 0; i < answers.getCallers().size(); i++) {
-            organisation(answers.getCallers().get(i), "answer: callers/" + i + "/");
+            writeOrganisation(answers.getCallers().get(i), "answer: callers/" + i + "/");
         }
         json.end();
-        json.array("kinds");
+        json.beginArray("kinds");
         for (int i = 0; i < answers.getWork().size(); i++) {
-            kind(answers.getWork().get(i), "answer: work/" + i + "/");
+            writeKind(answers.getWork().get(i), "answer: work/" + i + "/");
         }
         json.end();
-        json.array("targets");
+        json.beginArray("targets");
         for (int i = 0; i < answers.getTargets().size(); i++) {
-            target(answers.getTargets().get(i), "answer: targets/" + i + "/");
+            writeTarget(answers.getTargets().get(i), "answer: targets/" + i + "/");
         }
         json.end();
-        json.object("weightStore");
+        json.beginObject("weightStore");
         json.value("loadsPerMinute", answers.getModelLoadsPerMinute(), "answer: modelLoadsPerMinute");
         json.end();
         return json.end().toString();
     }
 
-    private void organisation(CallerAnswers caller, String from) {
+    private void writeOrganisation(CallerAnswers caller, String originPrefix) {
         boolean large = caller.getSize() == CallerAnswers.Size.LARGE;
-        json.object(null);
-        json.value("id", caller.getOrganisation(), from + "organisation");
-        json.value("credentialSha256", caller.getCredentialSha256(), from + "credentialSha256");
+        json.beginObject(null);
+        json.value("id", caller.getOrganisation(), originPrefix + "organisation");
+        json.value("credentialSha256", caller.getCredentialSha256(), originPrefix + "credentialSha256");
         json.value(
                 "share",
                 large ? LARGE_SHARE : 1,
-                from + "size = " + caller.getSize().value());
-        json.value("requestsPerSecond", caller.getMostRequestsPerSecond(), from + "mostRequestsPerSecond");
-        json.value("maxStreams", caller.getMostAtOnce(), from + "mostAtOnce");
+                originPrefix + "size = " + caller.getSize().value());
+        json.value("requestsPerSecond", caller.getMostRequestsPerSecond(), originPrefix + "mostRequestsPerSecond");
+        json.value("maxStreams", caller.getMostAtOnce(), originPrefix + "mostAtOnce");
         if (caller.getUsualWork() != null) {
-            json.value("defaultKind", caller.getUsualWork(), from + "usualWork");
+            json.value("defaultKind", caller.getUsualWork(), originPrefix + "usualWork");
         }
         json.end();
     }
 
-    private void kind(WorkAnswers work, String from) {
+    private void writeKind(WorkAnswers work, String originPrefix) {
         if (work.getHarm() != null) {
             json.comment(work.getHarm());
         }
-        boolean engine = work.getServedBy() == WorkAnswers.ServedBy.ENGINE;
+        boolean servedByEngine = work.getServedBy() == WorkAnswers.ServedBy.ENGINE;
         boolean repeatable = work.getIfDoubled() == WorkAnswers.IfDoubled.NOTHING;
         boolean retried = repeatable && !Boolean.FALSE.equals(work.getMayRetry());
-        json.object(null);
-        json.value("name", work.getName(), from + "name");
-        json.value("runsOn", work.getServedBy().value(), from + "servedBy");
-        if (engine) {
-            json.value("model", work.getModel(), from + "model");
+        json.beginObject(null);
+        json.value("name", work.getName(), originPrefix + "name");
+        json.value("runsOn", work.getServedBy().value(), originPrefix + "servedBy");
+        if (servedByEngine) {
+            json.value("model", work.getModel(), originPrefix + "model");
             if (work.getAdapter() != null) {
-                json.value("adapter", work.getAdapter(), from + "adapter");
+                json.value("adapter", work.getAdapter(), originPrefix + "adapter");
             }
         }
         boolean urgent = work.getWaiting() == WorkAnswers.Waiting.AT_ONCE;
         json.value(
                 "urgency",
                 urgent ? "urgent" : "patient",
-                from + "waiting = " + work.getWaiting().value());
-        json.value("value", isCostly(work) ? "high" : "low", costSource(work, from));
+                originPrefix + "waiting = " + work.getWaiting().value());
+        json.value("value", isHighValue(work) ? "high" : "low", valueOrigin(work, originPrefix));
         json.value(
                 "repeatable",
                 repeatable,
-                from + "ifDoubled = " + work.getIfDoubled().value());
-        boolean streamed = engine && work.getShownAsItGrows();
-        json.value("delivery", streamed ? "stream" : "whole", from + "shownAsItGrows = " + work.getShownAsItGrows());
-        json.value("deadlineMs", Math.round(work.getLongestWaitSeconds() * MILLIS), from + "longestWaitSeconds");
-        if (engine && work.getLongestTokens() != null) {
-            json.value("maxTokens", work.getLongestTokens(), from + "longestTokens");
+                originPrefix + "ifDoubled = " + work.getIfDoubled().value());
+        boolean streamed = servedByEngine && work.getShownAsItGrows();
+        json.value(
+                "delivery",
+                streamed ? "stream" : "whole",
+                originPrefix + "shownAsItGrows = " + work.getShownAsItGrows());
+        json.value(
+                "deadlineMs",
+                Math.round(work.getLongestWaitSeconds() * MILLIS_PER_SECOND),
+                originPrefix + "longestWaitSeconds");
+        if (servedByEngine && work.getLongestTokens() != null) {
+            json.value("maxTokens", work.getLongestTokens(), originPrefix + "longestTokens");
         }
-        if (engine && work.getUsualTokens() != null) {
-            json.value("typicalTokens", work.getUsualTokens(), from + "usualTokens");
+        if (servedByEngine && work.getUsualTokens() != null) {
+            json.value("typicalTokens", work.getUsualTokens(), originPrefix + "usualTokens");
         }
-        String retrySource = work.getMayRetry() == null ? "ifDoubled" : "mayRetry = " + work.getMayRetry();
-        json.value("maxAttempts", retried ? REPEATABLE_ATTEMPTS : 1, from + retrySource);
+        String maxAttemptsAnswer = work.getMayRetry() == null ? "ifDoubled" : "mayRetry = " + work.getMayRetry();
+        json.value("maxAttempts", retried ? MAX_ATTEMPTS : 1, originPrefix + maxAttemptsAnswer);
         json.end();
     }
 
-    private static boolean isCostly(WorkAnswers work) {
+    private static boolean isHighValue(WorkAnswers work) {
         return work.getIfLate() == WorkAnswers.IfLate.LOT
                 || work.getIfLost() == WorkAnswers.IfLost.LOT
                 || work.getIfDoubled() == WorkAnswers.IfDoubled.LOT;
     }
 
-    private static String costSource(WorkAnswers work, String from) {
+    private static String valueOrigin(WorkAnswers work, String originPrefix) {
         return "%sifLate = %s, ifLost = %s, ifDoubled = %s"
                 .formatted(
-                        from,
+                        originPrefix,
                         work.getIfLate().value(),
                         work.getIfLost().value(),
                         work.getIfDoubled().value());
     }
 
-    private void target(TargetAnswers target, String from) {
-        json.object(null);
-        json.value("id", target.getId(), from + "id");
-        json.value("type", target.getType().value(), from + "type");
-        json.value("host", target.getHost(), from + "host");
-        json.value("port", target.getPort(), from + "port");
-        json.value("failureDomain", target.getFailureDomain(), from + "failureDomain");
+    private void writeTarget(TargetAnswers target, String originPrefix) {
+        json.beginObject(null);
+        json.value("id", target.getId(), originPrefix + "id");
+        json.value("type", target.getType().value(), originPrefix + "type");
+        json.value("host", target.getHost(), originPrefix + "host");
+        json.value("port", target.getPort(), originPrefix + "port");
+        json.value("failureDomain", target.getFailureDomain(), originPrefix + "failureDomain");
         if (!target.getModels().isEmpty()) {
-            json.array("models");
+            json.beginArray("models");
             for (int i = 0; i < target.getModels().size(); i++) {
-                model(target.getModels().get(i), from + "models/" + i + "/");
+                writeModel(target.getModels().get(i), originPrefix + "models/" + i + "/");
             }
             json.end();
         }
-        json.value("checksFence", target.getRefusesOldOrders(), from + "refusesOldOrders");
-        json.value("maxConcurrent", target.getMostAtOnce(), from + "mostAtOnce");
+        json.value("checksFence", target.getRefusesOldOrders(), originPrefix + "refusesOldOrders");
+        json.value("maxConcurrent", target.getMostAtOnce(), originPrefix + "mostAtOnce");
         json.end();
     }
 
-    private void model(ModelAnswers model, String from) {
-        json.object(null);
-        json.value("model", model.getModel(), from + "model");
-        json.value("version", model.getVersion(), from + "version");
+    private void writeModel(ModelAnswers model, String originPrefix) {
+        json.beginObject(null);
+        json.value("model", model.getModel(), originPrefix + "model");
+        json.value("version", model.getVersion(), originPrefix + "version");
         if (!model.getAdapters().isEmpty()) {
-            json.array("adapters");
-            model.getAdapters().forEach(adapter -> json.value(null, adapter, from + "adapters"));
+            json.beginArray("adapters");
+            model.getAdapters().forEach(adapter -> json.value(null, adapter, originPrefix + "adapters"));
             json.end();
         }
         json.end();
--- a/ctl/src/main/java/org/verbenatally/ctl/QuestionnaireCommand.java
+++ b/ctl/src/main/java/org/verbenatally/ctl/QuestionnaireCommand.java
@@ -11,7 +11,7 @@
 import org.verbenatally.config.AnswersReader;
 import org.verbenatally.config.ConfigException;
 
-/** Generates a deployment document from answers that are asked for in the terminal or read from a file. */
+/** Generates a deployment document from answers that are entered in the terminal or read from a file. */
 final class QuestionnaireCommand implements Command {
 
     @Override
@@ -21,7 +21,7 @@
 
     @Override
     public String summary() {
-        return "Asks about callers, work and harms and generates the deployment document.";
+        return "Asks about callers, work and possible harm and generates the deployment document.";
     }
 
     @Override
@@ -33,12 +33,12 @@
     @Override
     public Options options() {
         return new Options()
-                .addOption(file("answers", "read the answers from FILE instead of asking"))
-                .addOption(file("save", "write the answers that were given to FILE, for version control"))
-                .addOption(file("output", "write the deployment document to FILE instead of standard output"));
+                .addOption(fileOption("answers", "read the answers from FILE instead of asking"))
+                .addOption(fileOption("save", "write the given answers to FILE, for version control"))
+                .addOption(fileOption("output", "write the deployment document to FILE instead of standard output"));
     }
 
-    private static Option file(String name, String description) {
+    private static Option fileOption(String name, String description) {
         return Option.builder()
                 .longOpt(name)
                 .hasArg()
@@ -52,8 +52,8 @@
         String source = line.getOptionValue("answers", "answers");
         byte[] answers = line.hasOption("answers")
                 ? Files.readAllBytes(Path.of(source))
-                : new Interview(console).ask().getBytes(StandardCharsets.UTF_8);
-        // Saved before they are judged: a contradiction must not cost the operator all answers.
+                : new InteractiveQuestionnaire(console).ask().getBytes(StandardCharsets.UTF_8);
+        // Saved before validation, so that the operator does not lose all answers because of a contradiction.
         if (line.hasOption("save")) {
             Files.write(Path.of(line.getOptionValue("save")), answers);
         }
